--- a/include/harelink/Adapters/dialect.h
+++ b/include/harelink/Adapters/dialect.h
@@ -52,10 +52,10 @@
 };
 
 /// How callers' requests are read and passed on unchanged.
-class CarriedDialect
+class ProxiedDialect
 {
 public:
-    virtual ~CarriedDialect() = default;
+    virtual ~ProxiedDialect() = default;
     /// Reads a request; an error names the fault.
     [[nodiscard]] virtual absl::StatusOr<RequestArrived> read(HttpRequest request) const = 0;
     /// The reply that carries \p answer.
@@ -64,7 +64,7 @@
     [[nodiscard]] virtual HttpReply makeBadRequest(const HttpRequest &request,
                                                    const absl::Status &error) const = 0;
     /// The beginning of a stream.
-    [[nodiscard]] virtual HttpReply makeHead(const CarriedAnswer &head) const = 0;
+    [[nodiscard]] virtual HttpReply makeHead(const ProxiedAnswer &head) const = 0;
     /// The HTTP call that carries a request to its endpoint.
     [[nodiscard]] virtual HttpCall encode(const SendStage &stage) const = 0;
     /// What \p result says of \p stage.
@@ -97,26 +97,26 @@
     virtual ~Dialect() = default;
     [[nodiscard]] virtual const PlatformDialect &platform() const = 0;
     /// Null where callers speak the product's own interface.
-    [[nodiscard]] virtual const CarriedDialect *carried() const { return nullptr; }
+    [[nodiscard]] virtual const ProxiedDialect *proxied() const { return nullptr; }
     /// What an answer says of its endpoint, as of status checks.
     [[nodiscard]] virtual EndpointNotice noticeIn(const HttpResult &result) const = 0;
     /// Null where no endpoint works in pieces.
     [[nodiscard]] virtual const PieceDialect *pieces() const { return nullptr; }
 };
 
-/// Reads the answer to a carried request as it comes in.
-class CarriedStream
+/// Reads the answer to a proxied request as it comes in.
+class ProxiedStream
 {
 public:
     /// \param dialect outlives the stream.
-    CarriedStream(const CarriedDialect &dialect, const SendStage &stage);
+    ProxiedStream(const ProxiedDialect &dialect, const SendStage &stage);
     /// Takes in a part of the body; gives the events that it made whole, in order.
     std::vector<StageEvent> take(const HttpResult &head, const std::string &bytes);
     /// What the end of the call says.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(HttpResult result) const;
 
 private:
-    const CarriedDialect &m_dialect;
+    const ProxiedDialect &m_dialect;
     SendStage m_stage;
     std::string m_rest; ///< Bytes of an event that is not whole yet, or of a plain answer.
     bool m_streams = false;
--- a/include/harelink/Config/resources.h
+++ b/include/harelink/Config/resources.h
@@ -37,7 +37,7 @@
     std::string pool; ///< The pool whose endpoints run it.
 };
 
-/// Work in pieces that is done before a carried request is sent to its endpoint. How
+/// Work in pieces that is done before a proxied request is sent to its endpoint. How
 /// many pieces there are, the request says.
 struct PieceStageSpec
 {
@@ -93,7 +93,7 @@
     std::string name;
     double weight = 1;                ///< Its share of capacity in a burst, against the others'.
     std::string tokenSha256;          ///< Of the bearer token, in hexadecimal; may be empty.
-    std::vector<std::string> apiKeys; ///< Of carried requests; any one of them will do.
+    std::vector<std::string> apiKeys; ///< Of proxied requests; any one of them will do.
     std::optional<int> priority;      ///< Goes before the routes' own.
     /// As of a route; where both name some, only those that both name.
     std::vector<std::string> allowedRegions;
--- a/include/harelink/Config/settings.h
+++ b/include/harelink/Config/settings.h
@@ -54,7 +54,7 @@
     std::string dialect = "harelink";  ///< Name of the plug-in that speaks to the platform.
     std::string readyPath = "/readyz"; ///< Where the balancer asks operatorAddress.
     int watchers = 2;                  ///< Daemons of a data centre that watch the platform.
-    double retryRatio = 0.1;           ///< Repeats of carried requests, for each request.
+    double retryRatio = 0.1;           ///< Repeats of proxied requests, for each request.
     double retryAllowance = 200;       ///< Repeats besides, of all daemons together.
     std::chrono::milliseconds retryWindow{10'000}; ///< In any window of this length.
     std::string logLevel;                          ///< debug, info, warning or error.
--- a/include/harelink/Daemon/daemon.h
+++ b/include/harelink/Daemon/daemon.h
@@ -48,7 +48,7 @@
     void handleOperator(const HttpRequest &request, const Responder &responder);
     void handleDrain(const HttpRequest &request, const Responder &responder);
     void replyMetrics(const Responder &responder);
-    void handleCarried(const HttpRequest &request, const Responder &responder);
+    void handleProxied(const HttpRequest &request, const Responder &responder);
     Worker &workerOf(std::uint64_t sequence);
 
     Settings m_settings;
--- a/include/harelink/Daemon/worker.h
+++ b/include/harelink/Daemon/worker.h
@@ -94,7 +94,7 @@
         Responder responder;
         bool wantsStream = false;
         bool streamBegan = false;
-        bool carried = false;
+        bool proxied = false;
         std::uint64_t connection = 0;
     };
 
@@ -120,7 +120,7 @@
     void perform(const CallBroken &action);
     void perform(const RequestCleared &action);
     void carry(const SendStage &action);
-    void answerCarried(const Caller &caller, const AnswerCaller &action);
+    void answerProxied(const Caller &caller, const AnswerCaller &action);
     void forget(std::uint64_t sequence);
     void logAnswer(const AnswerCaller &action) const;
     void stream(const CallId &call, const HttpCall &http,
--- a/include/harelink/Kernel/crashes.h
+++ b/include/harelink/Kernel/crashes.h
@@ -37,7 +37,7 @@
 struct CallBroken
 {
     CallId call;
-    std::string callerId;     ///< Of a carried request.
+    std::string callerId;     ///< Of a proxied request.
     std::uint64_t events = 0; ///< Of its request that were passed on before.
     BrokenCall broken;        ///< Without the address.
 };
--- a/include/harelink/Kernel/carried.h
+++ b/include/harelink/Kernel/proxied.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/carried.h - Requests passed on unchanged -*- C++ -*-===//
+//===- harelink/Kernel/proxied.h - Requests passed on unchanged -*- C++ -*-===//
 ///
 /// \file
 /// A request that is carried to an endpoint as the caller sent it, and the
@@ -7,8 +7,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_CARRIED_H
-#define HARELINK_KERNEL_CARRIED_H
+#ifndef HARELINK_KERNEL_PROXIED_H
+#define HARELINK_KERNEL_PROXIED_H
 
 #include "harelink/Support/clock.h"
 
@@ -31,7 +31,7 @@
 };
 
 /// A caller's request that is passed on unchanged.
-struct CarriedRequest
+struct ProxiedRequest
 {
     std::string callerId; ///< The caller's own name for this attempt; answers echo it.
     std::string method;
@@ -65,7 +65,7 @@
 };
 
 /// An endpoint's answer that is passed back unchanged.
-struct CarriedAnswer
+struct ProxiedAnswer
 {
     int status = 0;
     HeaderFields headers; ///< End to end.
@@ -74,4 +74,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_CARRIED_H
+#endif // HARELINK_KERNEL_PROXIED_H
--- a/include/harelink/Kernel/requestadmissionimpl.h
+++ b/include/harelink/Kernel/requestadmissionimpl.h
@@ -135,7 +135,7 @@
                                                      requestmachine::mostClosedRetryAfter));
         }
     }
-    if (request.carried && request.predicted > Duration::zero()) {
+    if (request.proxied && request.predicted > Duration::zero()) {
         // By then its pools will have worked off what makes it late now.
         const Duration late = forecast(request, snapshot) - request.pipeline.route->objective;
         wait = std::max(wait, std::min<Duration>(late, requestmachine::mostRetryAfter));
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -105,10 +105,10 @@
         }
         charge(*request, busy - request->charged, snapshot);
     }
-    if (event.carried) {
+    if (event.proxied) {
         AnswerCaller action;
         action.outcome = Outcome::Completed;
-        action.carried = std::move(event.carried);
+        action.proxied = std::move(event.proxied);
         answer(*request, std::move(action));
     } else {
         advance(*request, std::move(event.body), snapshot);
@@ -230,7 +230,7 @@
     ++m_counters.brokenCalls;
     CallBroken action;
     action.call = request.call();
-    action.callerId = request.carried ? request.carried->callerId : std::string();
+    action.callerId = request.proxied ? request.proxied->callerId : std::string();
     action.events = request.tokens;
     action.broken.digest = request.digest;
     action.broken.pool = request.stageSpec().pool;
@@ -279,13 +279,13 @@
         enqueue(request, snapshot);
         return;
     }
-    if (event.carried && !request.headPassedOn) {
+    if (event.proxied && !request.headPassedOn) {
         // The endpoint's own failure says more to its caller than one of ours.
         AnswerCaller action;
         action.outcome = outcomeOfFailure(request);
         action.reason = Reason::StageFailed;
         action.error = event.status;
-        action.carried = event.carried;
+        action.proxied = event.proxied;
         answer(request, std::move(action));
         return;
     }
@@ -295,8 +295,8 @@
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::mayRetry(const Request &request, SendEvidence evidence)
 {
-    if (request.carried) {
-        return mayRetryCarried(request, evidence);
+    if (request.proxied) {
+        return mayRetryProxied(request, evidence);
     }
     const bool mayHaveRun = evidence == SendEvidence::Sent;
     if (mayHaveRun && !request.pipeline.repeatable && G::retriesOnlyRepeatable) {
@@ -361,7 +361,7 @@
     action.firstPiece = request.firstPiece;
     action.tokens = request.tokens;
     action.costs = std::move(request.costs);
-    action.callerId = request.carried ? request.carried->callerId : std::string();
+    action.callerId = request.proxied ? request.proxied->callerId : std::string();
     action.endpoint = request.endpoint;
     action.sends = request.attempt;
     action.predicted = request.predicted;
@@ -369,7 +369,7 @@
     action.prepared = request.prepared;
     countDemand(request, static_cast<std::uint32_t>(request.pipeline.stages.size()));
     ++m_counters.reasons[static_cast<std::size_t>(action.reason)];
-    if (!request.carried && !action.replayed && action.reason != Reason::MayHaveRun
+    if (!request.proxied && !action.replayed && action.reason != Reason::MayHaveRun
         && action.reason != Reason::KeyReused && action.reason != Reason::ClaimUnavailable) {
         finishClaim(request, action.outcome, action.body);
     }
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -9,6 +9,7 @@
 #ifndef HARELINK_KERNEL_REQUESTDISPATCHIMPL_H
 #define HARELINK_KERNEL_REQUESTDISPATCHIMPL_H
 
+#include "harelink/Kernel/coldstart.h"
 #include "harelink/Kernel/requestmachinestate.h"
 
 #include "harelink/Support/error.h"
@@ -25,7 +26,7 @@
     if (!G::ordersByUse) {
         return {{}, request.arrivedAt, request.id.sequence};
     }
-    const TimePoint due = request.carried ? request.wanted : request.deadline;
+    const TimePoint due = request.proxied ? request.wanted : request.deadline;
     return {request.account, due, request.id.sequence};
 }
 
@@ -185,7 +186,7 @@
 TimePoint BasicRequestMachine<G>::latestStart(const Request &request)
 {
     const TimePoint latest = request.deadline - remainingTime(request);
-    return request.carried ? std::min(latest, request.wanted) : latest;
+    return request.proxied ? std::min(latest, request.wanted) : latest;
 }
 
 /// Whether the pool of \p request accepts it in time, behind \p ahead others that wait for
@@ -276,12 +277,12 @@
     if (!pool.spec.keepsPrompts) {
         return nullptr;
     }
-    if (request.carried) {
+    if (request.proxied) {
         // The last part is the request's own; the one before it is the longest beginning
         // that others have too.
-        const std::vector<PromptPart> &parts = request.carried->prompt;
+        const std::vector<PromptPart> &parts = request.proxied->prompt;
         const bool hasHome =
-            parts.size() >= 2 && request.carried->sharedTokens() >= requestmachine::leastHomeTokens;
+            parts.size() >= 2 && request.proxied->sharedTokens() >= requestmachine::leastHomeTokens;
         if (!hasHome) {
             return nullptr;
         }
@@ -296,7 +297,7 @@
 void BasicRequestMachine<G>::send(Request &request, const PoolEntry &pool,
                                   const EndpointEntry &endpoint, const Snapshot &snapshot)
 {
-    assert((request.pipeline.repeatable || request.holdsClaim || request.carried
+    assert((request.pipeline.repeatable || request.holdsClaim || request.proxied
             || !G::claimsBeforeSending)
            && "a request that may not be repeated is sent under a claim only");
     const TimePoint now = m_clock.now();
@@ -341,14 +342,14 @@
     action.textBefore = request.text;
     action.account = request.account;
     action.priority = request.priority;
-    action.carried = request.carried;
+    action.proxied = request.proxied;
     if (request.pieces) {
         action.inputs = request.pieces->finalResults();
     }
     if (request.headPassedOn) {
         action.resumeAfter = request.lastEvent;
     }
-    if (request.carried && request.arrivals > 0) {
+    if (request.proxied && request.arrivals > 0) {
         budgetOf(pool.spec.name).noteRepeat(now);
     }
     m_counters.resumedStreams += request.tokens > 0 || request.headPassedOn ? 1 : 0;
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -10,7 +10,6 @@
 #ifndef HARELINK_KERNEL_REQUESTMACHINE_H
 #define HARELINK_KERNEL_REQUESTMACHINE_H
 
-#include "harelink/Kernel/carried.h"
 #include "harelink/Kernel/claims.h"
 #include "harelink/Kernel/crashes.h"
 #include "harelink/Kernel/endpointnotice.h"
@@ -20,6 +19,7 @@
 #include "harelink/Kernel/patiencemodel.h"
 #include "harelink/Kernel/pieces.h"
 #include "harelink/Kernel/pooldemand.h"
+#include "harelink/Kernel/proxied.h"
 #include "harelink/Kernel/requestdigest.h"
 #include "harelink/Kernel/retrybudget.h"
 #include "harelink/Kernel/routing.h"
@@ -58,7 +58,7 @@
     bool streams = false;                ///< Wants the last stage's answer as it comes.
     /// Where it is to be passed on unchanged: its route then gives the pipeline, and its
     /// API key the account. Shared with the calls that carry it.
-    std::shared_ptr<const CarriedRequest> carried;
+    std::shared_ptr<const ProxiedRequest> proxied;
 };
 
 /// Event: an endpoint answered a call.
@@ -69,16 +69,16 @@
     std::string body;
     Duration busy{};                      ///< The endpoint's own time; zero where it tells none.
     int reportedActive = -1;              ///< Its load report; negative where it sent none.
-    std::optional<CarriedAnswer> carried; ///< The whole answer to a carried request.
+    std::optional<ProxiedAnswer> proxied; ///< The whole answer to a proxied request.
     std::optional<EndpointNotice> notice; ///< Absent where the protocol has none.
 };
 
-/// Event: an event of the answer to a carried request that streams.
+/// Event: an event of the answer to a proxied request that streams.
 struct StageEvent
 {
     CallId call;        ///< As in StageAnswered.
     CallId echoed;      ///< As in StageAnswered.
-    CarriedAnswer head; ///< Of the answer that it is part of.
+    ProxiedAnswer head; ///< Of the answer that it is part of.
     std::optional<std::uint64_t> eventId;
     std::string bytes;                    ///< The whole event, as it came.
     std::optional<EndpointNotice> notice; ///< As in StageAnswered.
@@ -107,7 +107,7 @@
     SendEvidence evidence = SendEvidence::Sent;
     absl::Status status;
     /// The endpoint's own answer, where it failed by one.
-    std::optional<CarriedAnswer> carried;
+    std::optional<ProxiedAnswer> proxied;
     bool isOtherEndpoint = false;         ///< Another endpoint has taken over the address.
     bool inputsGone = false;              ///< Results that the request names are no longer kept.
     bool isBroken = false;                ///< The connection ended in the middle of the call.
@@ -147,7 +147,7 @@
     std::string textBefore;         ///< broke: the answer is to go on right behind them.
     std::string account;
     int priority = 0; ///< 0 is the most urgent.
-    std::shared_ptr<const CarriedRequest> carried;
+    std::shared_ptr<const ProxiedRequest> proxied;
     std::vector<std::string> inputs; ///< Results of the pieces.
     /// The event behind which a stream is to go on.
     std::optional<std::uint64_t> resumeAfter;
@@ -176,7 +176,7 @@
 struct StreamEvents
 {
     RequestId id;
-    std::optional<CarriedAnswer> head; ///< With the first event only.
+    std::optional<ProxiedAnswer> head; ///< With the first event only.
     std::string bytes;
 };
 
@@ -220,8 +220,8 @@
     std::uint64_t tokens = 0; ///< Passed on in parts.
     std::vector<StageCost> costs;
     /// The endpoint's answer, also a failure of its own, where the request was carried.
-    std::optional<CarriedAnswer> carried;
-    std::string callerId; ///< Of a carried request.
+    std::optional<ProxiedAnswer> proxied;
+    std::string callerId; ///< Of a proxied request.
     std::string endpoint; ///< Where it was sent last.
     std::uint32_t sends = 0;
     Duration predicted{};   ///< At its admission, to the answer or its first event.
@@ -253,7 +253,7 @@
 {
     std::size_t mostRequests = 10'000; ///< In progress; more are refused.
     int workers = 1;                   ///< Machines that share the endpoints.
-    RetryBudgetOptions retries;        ///< Of carried requests.
+    RetryBudgetOptions retries;        ///< Of proxied requests.
     /// How many daemons are alive, for shares that need no talk; null for this one alone.
     const std::atomic<int> *daemons = nullptr;
 };
@@ -336,7 +336,7 @@
     void dropPieces(Request &request);
     void releaseResults(Request &request);
     void piecesLost(Request &request, const Snapshot &snapshot);
-    bool mayRetryCarried(const Request &request, SendEvidence evidence);
+    bool mayRetryProxied(const Request &request, SendEvidence evidence);
     RetryBudget &budgetOf(const std::string &pool);
     [[nodiscard]] int daemons() const;
     bool fitsDeadline(const Request &request, Duration needed);
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -12,10 +12,10 @@
 
 #include "harelink/Kernel/requestadmissionimpl.h"
 #include "harelink/Kernel/requestanswersimpl.h"
-#include "harelink/Kernel/requestcarriedimpl.h"
 #include "harelink/Kernel/requestclaimsimpl.h"
 #include "harelink/Kernel/requestdispatchimpl.h"
 #include "harelink/Kernel/requestmachinestate.h"
+#include "harelink/Kernel/requestproxiedimpl.h"
 
 #include "harelink/Support/error.h"
 
@@ -136,12 +136,12 @@
         return refusal(Reason::UnknownAccount, absl::StatusCode::kPermissionDenied, "admission", "",
                        "there is no such client account");
     }
-    const std::size_t bytes = event.carried ? event.carried->body.size() : event.body.size();
+    const std::size_t bytes = event.proxied ? event.proxied->body.size() : event.body.size();
     if (bytes > pipeline->largestBody) {
         return refusal(Reason::BodyTooLarge, absl::StatusCode::kInvalidArgument, "admission", "",
                        fmt::format("the body is larger than {} bytes", pipeline->largestBody));
     }
-    if (!event.carried && !pipeline->repeatable && event.idempotencyKey.empty()) {
+    if (!event.proxied && !pipeline->repeatable && event.idempotencyKey.empty()) {
         return refusal(Reason::KeyMissing, absl::StatusCode::kInvalidArgument, "admission", "",
                        "this pipeline may not be repeated and needs an idempotency key");
     }
@@ -178,7 +178,7 @@
     if (std::optional<AnswerCaller> refusal = refuseAtOnce(event, digest, snapshot)) {
         refusal->account = event.account;
         refusal->pipeline = event.pipeline;
-        refusal->callerId = event.carried ? event.carried->callerId : std::string();
+        refusal->callerId = event.proxied ? event.proxied->callerId : std::string();
         ++m_counters.reasons[static_cast<std::size_t>(refusal->reason)];
         m_actions.emplace_back(*std::move(refusal));
         return;
@@ -196,8 +196,8 @@
     request.streams = event.streams;
     request.arrivedAt = now;
     request.deadline = now + event.timeAllowed.value_or(request.pipeline.deadline);
-    request.carried = std::move(event.carried);
-    if (request.carried) {
+    request.proxied = std::move(event.proxied);
+    if (request.proxied) {
         takeRoute(request, snapshot);
     }
     const bool added = m_requests.emplace(event.id.sequence, std::move(owned)).second;
@@ -209,7 +209,7 @@
         failWithoutTurn(request, stage->pool, snapshot);
         return;
     }
-    if (request.carried && !admit(request, snapshot)) {
+    if (request.proxied && !admit(request, snapshot)) {
         fail(request, Reason::CannotFinish,
              makeError(absl::StatusCode::kDeadlineExceeded, "admission", "",
                        fmt::format("predicted to take {:.0f} ms, wanted in {:.0f} ms",
@@ -228,9 +228,9 @@
     }
     countDemand(request, 0);
     schedule(request, request.deadline - requestmachine::answerMargin);
-    // A carried request has an id of its own and is this daemon's alone: it is sent once
+    // A proxied request has an id of its own and is this daemon's alone: it is sent once
     // and needs no claim.
-    if (!request.carried && !request.pipeline.repeatable && G::claimsBeforeSending) {
+    if (!request.proxied && !request.pipeline.repeatable && G::claimsBeforeSending) {
         claim(request);
         return;
     }
@@ -333,7 +333,7 @@
     }
     // What may not be repeated goes on: its result is kept for a retry. Of a carried
     // request nothing is kept, and nobody is left to want it.
-    if (!request->carried && !request->pipeline.repeatable) {
+    if (!request->proxied && !request->pipeline.repeatable) {
         return;
     }
     withdraw(*request, snapshot);
--- a/include/harelink/Kernel/requestmachinestate.h
+++ b/include/harelink/Kernel/requestmachinestate.h
@@ -32,7 +32,7 @@
 inline constexpr std::chrono::milliseconds queuePollInterval{5};
 /// The shortest time after which a refused caller is told to come back.
 inline constexpr std::chrono::milliseconds leastRetryAfter{100};
-/// The longest for a carried request: what a forecast says of later is worth nothing.
+/// The longest for a proxied request: what a forecast says of later is worth nothing.
 inline constexpr std::chrono::milliseconds mostRetryAfter{5000};
 /// The longest where rate limits are used up: another daemon may have a turn sooner.
 inline constexpr std::chrono::milliseconds mostClosedRetryAfter{1000};
@@ -50,9 +50,9 @@
 /// A machine has a turn more often than this, unless its process stands still.
 inline constexpr std::chrono::milliseconds longestTurnGap{750};
 
-/// Sends of one carried request, those refused before running among them: each costs a
+/// Sends of one proxied request, those refused before running among them: each costs a
 /// connection and a part of the budget that all daemons share.
-inline constexpr std::uint32_t mostCarriedSends = 4;
+inline constexpr std::uint32_t maxProxiedSends = 4;
 /// Daemons that the retry budget is divided among while fewer are known.
 inline constexpr int leastDaemons = 3;
 /// Tokens of prompts that a model engine reads in a second, until it is learnt.
@@ -137,7 +137,7 @@
     CountHold inFlight; ///< While it is in flight.
     std::vector<StageCost> costs;
 
-    std::shared_ptr<const CarriedRequest> carried; ///< Null for the product's own requests.
+    std::shared_ptr<const ProxiedRequest> proxied; ///< Null for the product's own requests.
     int priority = 0;
     TimePoint wanted; ///< Its objective, as a time.
     Duration spent{}; ///< By its caller on earlier tries, as far as can be told.
--- a/include/harelink/Kernel/requestcarriedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/requestcarriedimpl.h - Carried requests --*- C++ -*-===//
+//===- harelink/Kernel/requestproxiedimpl.h - Proxied requests --*- C++ -*-===//
 ///
 /// \file
 /// What is special to a request that is passed on unchanged: its route, the
@@ -7,8 +7,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_REQUESTCARRIEDIMPL_H
-#define HARELINK_KERNEL_REQUESTCARRIEDIMPL_H
+#ifndef HARELINK_KERNEL_REQUESTPROXIEDIMPL_H
+#define HARELINK_KERNEL_REQUESTPROXIEDIMPL_H
 
 #include "harelink/Kernel/coldstart.h"
 #include "harelink/Kernel/pieceforecast.h"
@@ -27,16 +27,16 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::resolveRoute(RequestArrived &event, const Snapshot &snapshot)
 {
-    if (!event.carried) {
+    if (!event.proxied) {
         return;
     }
-    if (const PipelineSpec *pipeline = snapshot.route(event.carried->host, event.carried->path)) {
+    if (const PipelineSpec *pipeline = snapshot.route(event.proxied->host, event.proxied->path)) {
         event.pipeline = pipeline->name;
         if (pipeline->route->isPublic) {
             return;
         }
     }
-    const auto account = snapshot.accountsByKey.find(event.carried->apiKey);
+    const auto account = snapshot.accountsByKey.find(event.proxied->apiKey);
     if (account != snapshot.accountsByKey.end()) {
         event.account = account->second;
     }
@@ -74,7 +74,7 @@
         route.objective * requestmachine::preparingObjectives);
     request.preparedBy = now + std::chrono::duration_cast<Duration>(preparing);
     request.streams = route.streams;
-    request.lastEvent = request.carried->lastEventSeen;
+    request.lastEvent = request.proxied->lastEventSeen;
     const AccountEntry *account = snapshot.account(request.account);
     const bool ofAccount = account != nullptr && account->spec.priority;
     request.priority = ofAccount ? *account->spec.priority : route.priority;
@@ -88,11 +88,11 @@
 PromptNeed BasicRequestMachine<G>::promptOf(const Request &request)
 {
     PromptNeed need;
-    if (!request.carried) {
+    if (!request.proxied) {
         return need;
     }
-    need.tokens = request.carried->promptTokens;
-    need.sharedTokens = request.carried->sharedTokens();
+    need.tokens = request.proxied->promptTokens;
+    need.sharedTokens = request.proxied->sharedTokens();
     need.tokensPerSecond = poolState(request.stageSpec().pool).tokensPerSecond;
     if (request.pieces) {
         std::tie(need.dataCentre, need.inputBytes) = request.pieces->mostFinalBytes();
@@ -105,7 +105,7 @@
 void BasicRequestMachine<G>::bookPrompt(Request &request, const PoolEntry &pool,
                                         const EndpointEntry &endpoint)
 {
-    if (!pool.spec.engine || !request.carried) {
+    if (!pool.spec.engine || !request.proxied) {
         return;
     }
     const bool isHome = homeOf(request, pool) == &endpoint;
@@ -135,7 +135,7 @@
                                                          const Snapshot &snapshot) const
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
-    const std::vector<std::uint32_t> &counts = request.carried->pieceCounts;
+    const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
     const std::string wantedAt = resultsWantedAt(request, snapshot);
     std::vector<Duration> times(stages.size(), Duration::zero());
     for (std::size_t i = 0; i < stages.size(); ++i) {
@@ -225,7 +225,7 @@
 bool BasicRequestMachine<G>::mayTakeLate(const Request &request, const Snapshot &snapshot)
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
-    const std::vector<std::uint32_t> &counts = request.carried->pieceCounts;
+    const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
     for (std::size_t i = 0; i < std::min(stages.size(), counts.size()); ++i) {
         const PoolEntry *pool = snapshot.pool(stages[i].pool);
         if (counts[i] > 0 && pool != nullptr && !hasSparePlaces(*pool)) {
@@ -303,11 +303,11 @@
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::beginPieces(Request &request, const Snapshot &snapshot)
 {
-    if (!request.carried || request.pipeline.route->pieceStages.empty()) {
+    if (!request.proxied || request.pipeline.route->pieceStages.empty()) {
         return false;
     }
     request.pieces = std::make_unique<PieceGraph>(request.pipeline.route->pieceStages,
-                                                  request.carried->pieceCounts);
+                                                  request.proxied->pieceCounts);
     if (request.pieces->isComplete()) {
         return false;
     }
@@ -342,11 +342,11 @@
     for (const PiecePlace place : request.pieces->takeReady(stageTimes(request, snapshot))) {
         PieceOrder order;
         order.id = {request.id, place.stage, place.piece};
-        order.callerId = request.carried->callerId;
+        order.callerId = request.proxied->callerId;
         order.digest = request.digest;
         order.inputs = request.pieces->inputsOf(place.stage);
         if (order.inputs.empty()) {
-            order.key = request.carried->pieceKey;
+            order.key = request.proxied->pieceKey;
         }
         std::tie(order.inputsAt, order.inputBytes) = request.pieces->mostInputBytes(place.stage);
         order.priority = request.priority;
@@ -552,7 +552,7 @@
 }
 
 template <GuardPolicy G>
-bool BasicRequestMachine<G>::mayRetryCarried(const Request &request, SendEvidence evidence)
+bool BasicRequestMachine<G>::mayRetryProxied(const Request &request, SendEvidence evidence)
 {
     const bool mayHaveRun = evidence == SendEvidence::Sent;
     if (mayHaveRun && !request.pipeline.repeatable && G::retriesOnlyRepeatable) {
@@ -562,7 +562,7 @@
     if (mayHaveRun && request.mayHaveRun >= mostRuns) {
         return false;
     }
-    if (request.attempt >= requestmachine::mostCarriedSends) {
+    if (request.attempt >= requestmachine::maxProxiedSends) {
         return false;
     }
     if (!fitsDeadline(request, remainingTime(request))) {
@@ -576,4 +576,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_REQUESTCARRIEDIMPL_H
+#endif // HARELINK_KERNEL_REQUESTPROXIEDIMPL_H
--- a/lib/Adapters/dialect.cpp
+++ b/lib/Adapters/dialect.cpp
@@ -19,13 +19,13 @@
 
 } // namespace
 
-CarriedStream::CarriedStream(const CarriedDialect &dialect, const SendStage &stage)
+ProxiedStream::ProxiedStream(const ProxiedDialect &dialect, const SendStage &stage)
     : m_dialect(dialect)
     , m_stage(stage)
 {
 }
 
-std::vector<StageEvent> CarriedStream::take(const HttpResult &head, const std::string &bytes)
+std::vector<StageEvent> ProxiedStream::take(const HttpResult &head, const std::string &bytes)
 {
     m_rest += bytes;
     m_streams = m_streams || m_dialect.isStream(head);
@@ -44,7 +44,7 @@
     return events;
 }
 
-std::variant<StageAnswered, StageFailed> CarriedStream::finish(HttpResult result) const
+std::variant<StageAnswered, StageFailed> ProxiedStream::finish(HttpResult result) const
 {
     if (!m_streams) {
         result.body = m_rest;
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -36,8 +36,8 @@
     options.incarnation = incarnation;
     options.capacity = settings.capacity;
     options.claims.retention = settings.keyRetention;
-    // A carried request belongs to one daemon alone, so nobody ever claims its key.
-    options.keepsClaims = dialect.carried() == nullptr;
+    // A proxied request belongs to one daemon alone, so nobody ever claims its key.
+    options.keepsClaims = dialect.proxied() == nullptr;
     options.objects = &dialect.platform().objects();
     options.watchersPerDataCentre = static_cast<std::size_t>(settings.watchers);
     options.hostKind = dialect.platform().hostKind();
--- a/lib/Daemon/daemon.cpp
+++ b/lib/Daemon/daemon.cpp
@@ -232,15 +232,15 @@
     }
 }
 
-void Daemon::handleCarried(const HttpRequest &request, const Responder &responder)
+void Daemon::handleProxied(const HttpRequest &request, const Responder &responder)
 {
     const std::uint64_t connection = request.connection;
-    absl::StatusOr<RequestArrived> read = m_dialect->carried()->read(request);
+    absl::StatusOr<RequestArrived> read = m_dialect->proxied()->read(request);
     if (!read.ok()) {
         logger.record(LogLevel::Info, "request-unreadable")
             .field("target", request.target)
             .field("detail", errorMessage(read.status()));
-        responder(m_dialect->carried()->makeBadRequest(request, read.status()));
+        responder(m_dialect->proxied()->makeBadRequest(request, read.status()));
         return;
     }
     const std::uint64_t sequence = m_nextSequence++;
@@ -250,8 +250,8 @@
 
 void Daemon::handleCaller(HttpRequest request, const Responder &responder)
 {
-    if (m_dialect->carried() != nullptr) {
-        handleCarried(request, responder);
+    if (m_dialect->proxied() != nullptr) {
+        handleProxied(request, responder);
         return;
     }
     const std::uint64_t connection = request.connection;
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -92,9 +92,9 @@
 
 void Worker::accept(CallerRequest request, const Responder &responder)
 {
-    const bool carried = request.arrival.carried != nullptr;
-    // The API key of a carried request is checked with its route.
-    if (!carried && m_settings.callerTrust == CallerTrust::BearerToken) {
+    const bool proxied = request.arrival.proxied != nullptr;
+    // The API key of a proxied request is checked with its route.
+    if (!proxied && m_settings.callerTrust == CallerTrust::BearerToken) {
         std::string expected;
         bool ready = false;
         {
@@ -109,7 +109,7 @@
             return;
         }
     }
-    const Caller caller{responder, request.arrival.streams, false, carried, request.connection};
+    const Caller caller{responder, request.arrival.streams, false, proxied, request.connection};
     m_byConnection[request.connection].push_back(request.arrival.id);
     const bool added = m_callers.emplace(request.arrival.id.sequence, caller).second;
     assert(added && "a request is submitted once");
@@ -221,7 +221,7 @@
 
 void Worker::perform(SendStage action)
 {
-    if (action.carried != nullptr) {
+    if (action.proxied != nullptr) {
         carry(action);
         return;
     }
@@ -254,8 +254,8 @@
 void Worker::carry(const SendStage &action)
 {
     const CallId call = action.call;
-    const CarriedDialect &dialect = *m_dialect.carried();
-    const auto stream = std::make_shared<CarriedStream>(dialect, action);
+    const ProxiedDialect &dialect = *m_dialect.proxied();
+    const auto stream = std::make_shared<ProxiedStream>(dialect, action);
     const auto done = [this, call, stream](HttpResult result) {
         m_calls.erase(call);
         feedAny(stream->finish(std::move(result)));
@@ -304,8 +304,8 @@
     m_metrics.observe(action);
     logAnswer(action);
     const Caller &caller = found->second;
-    if (caller.carried) {
-        answerCarried(caller, action);
+    if (caller.proxied) {
+        answerProxied(caller, action);
     } else if (caller.streamBegan) {
         caller.responder(makeStreamEnd(action));
     } else if (caller.wantsStream && action.outcome == Outcome::Completed) {
@@ -316,11 +316,11 @@
     forget(action.id.sequence);
 }
 
-void Worker::answerCarried(const Caller &caller, const AnswerCaller &action)
+void Worker::answerProxied(const Caller &caller, const AnswerCaller &action)
 {
     HttpReply reply;
     if (!caller.streamBegan) {
-        reply = m_dialect.carried()->makeReply(action);
+        reply = m_dialect.proxied()->makeReply(action);
         reply.close = m_closesConnections;
     } else if (action.outcome != Outcome::Completed) {
         reply.abort = true;
@@ -337,7 +337,7 @@
         .field("pipeline", action.pipeline)
         .field("account", action.account)
         .field("outcome", toText(action.outcome))
-        .field("status", action.carried ? fmt::format("{}", action.carried->status) : "")
+        .field("status", action.proxied ? fmt::format("{}", action.proxied->status) : "")
         .field("reason", served ? std::string_view() : toText(action.reason))
         .field("step", served ? std::string() : errorStep(action.error))
         .field("peer", served ? action.endpoint : errorPeer(action.error))
@@ -361,7 +361,7 @@
     Caller &caller = found->second;
     HttpReply part;
     if (action.head) {
-        part = m_dialect.carried()->makeHead(*action.head);
+        part = m_dialect.proxied()->makeHead(*action.head);
         part.close = m_closesConnections;
         caller.streamBegan = true;
     }
--- a/test/sim/loadworld.h
+++ b/test/sim/loadworld.h
@@ -272,7 +272,7 @@
     void perform(Host &, const ClaimFinish &) {}
     void perform(Host &, const StreamPiece &) {}
     void perform(Host &, const CallBroken &) {}
-    /// Only carried requests bring the other actions, and none is sent here.
+    /// Only proxied requests bring the other actions, and none is sent here.
     template <typename Action>
     void perform(Host &, const Action &)
     {
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -563,7 +563,7 @@
     void perform(Host &, const AnswerCaller &action) { m_checks.answered(action); }
     void perform(Host &, const CancelStage &) {}
     void perform(Host &, const StreamPiece &action) { m_checks.streamed(action); }
-    /// Only carried requests bring the other actions, and none is sent here.
+    /// Only proxied requests bring the other actions, and none is sent here.
     template <typename Action>
     void perform(Host &, const Action &)
     {
--- a/unittests/Kernel/coldchecktest.cpp
+++ b/unittests/Kernel/coldchecktest.cpp
@@ -1,7 +1,7 @@
 //===- coldchecktest.cpp - Tests of daemons that ask whether endpoints are cold ===//
 
-#include "carriedfixture.h"
 #include "controlfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/coldstart.h"
 #include "harelink/Kernel/controlmachineimpl.h"
@@ -19,12 +19,12 @@
 
 namespace {
 
-/// The configuration of carried requests, whose endpoints bear \p rate requests while they are
+/// The configuration of proxied requests, whose endpoints bear \p rate requests while they are
 /// cold and can be asked.
 std::vector<Resource> checkedConfiguration(int engines, double rate,
                                            const std::string &statusPath = "/status")
 {
-    std::vector<Resource> resources = carriedConfiguration(engines);
+    std::vector<Resource> resources = proxiedConfiguration(engines);
     for (Resource &resource : resources) {
         if (auto *pool = std::get_if<PoolSpec>(&resource.spec); pool && pool->engine) {
             pool->coldRate = rate;
@@ -35,7 +35,7 @@
 }
 
 /// A daemon that does not receive changes of endpoints.
-struct CheckBench : CarriedBench
+struct CheckBench : ProxiedFixture
 {
     explicit CheckBench(const std::string &statusPath = "/status")
     {
@@ -61,7 +61,7 @@
     BlindFleet(std::size_t hosts, double rate, bool asks)
     {
         for (std::size_t i = 0; i < hosts; ++i) {
-            auto bench = std::make_unique<CarriedBench>();
+            auto bench = std::make_unique<ProxiedFixture>();
             bench->snapshot = buildSnapshot(checkedConfiguration(1, rate, asks ? "/status" : ""), 1,
                                             "dc1", nullptr);
             const ColdShares shares(fmt::format("h{}", i), hosts);
@@ -91,7 +91,7 @@
 private:
     void turn(std::size_t host, milliseconds now, milliseconds coldFor)
     {
-        CarriedBench &bench = *m_hosts[host];
+        ProxiedFixture &bench = *m_hosts[host];
         bench.advance(milliseconds(1));
         for (const SendStage &send : std::exchange(bench.sends, {})) {
             ++m_served;
@@ -114,14 +114,14 @@
     {
         while (!m_checks.empty() && m_checks.begin()->first <= now) {
             for (const auto &[host, state] : m_checks.begin()->second) {
-                CarriedBench &bench = *m_hosts[host];
+                ProxiedFixture &bench = *m_hosts[host];
                 recordColdState(*bench.snapshot, state, m_shares[host], bench.clock.now());
             }
             m_checks.erase(m_checks.begin());
         }
     }
 
-    std::vector<std::unique_ptr<CarriedBench>> m_hosts;
+    std::vector<std::unique_ptr<ProxiedFixture>> m_hosts;
     std::vector<ColdShares> m_shares;
     std::map<milliseconds, std::vector<std::pair<std::size_t, ColdStateChecked>>> m_checks;
     std::deque<milliseconds> m_arrivals; ///< At the cold endpoint, of a second.
--- a/unittests/Kernel/coldstarttest.cpp
+++ b/unittests/Kernel/coldstarttest.cpp
@@ -1,6 +1,6 @@
 //===- coldstarttest.cpp - Tests of endpoints that are cold ---------------===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/coldstart.h"
 
@@ -19,12 +19,12 @@
 /// What all daemons together may send to a cold endpoint in a second.
 constexpr double mostInASecond = rate * 1.5 + 5;
 
-/// The configuration of carried requests, whose endpoints in \p cold say that they are cold for
+/// The configuration of proxied requests, whose endpoints in \p cold say that they are cold for
 /// two seconds.
 std::vector<Resource> coldConfiguration(int engines, const std::vector<std::string> &cold,
                                         const std::vector<std::string> &drained = {})
 {
-    std::vector<Resource> resources = carriedConfiguration(engines);
+    std::vector<Resource> resources = proxiedConfiguration(engines);
     for (Resource &resource : resources) {
         if (auto *pool = std::get_if<PoolSpec>(&resource.spec); pool && pool->engine) {
             pool->coldRate = rate;
@@ -54,7 +54,7 @@
     return std::get<EndpointSpec>(resources.front().spec);
 }
 
-struct ColdBench : CarriedBench
+struct ColdBench : ProxiedFixture
 {
     ColdBench() { take(coldConfiguration(3, {}), {}); }
     void take(const std::vector<Resource> &resources, const ColdShares &shares)
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -1,7 +1,7 @@
 //===- datacentredraintest.cpp - Tests of drained data centres ------------===//
 
-#include "carriedfixture.h"
 #include "controlfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/pieceforecast.h"
 #include "harelink/Support/hash.h"
@@ -151,8 +151,8 @@
 
 TEST(DataCentreDrain, WhereAllAreDrainedARequestIsRefusedAtOnce)
 {
-    CarriedBench bench;
-    bench.snapshot = snapshotOf(carriedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
+    ProxiedFixture bench;
+    bench.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
     bench.arrive("/read/1");
     LONGS_EQUAL(0, bench.sends.size());
     LONGS_EQUAL(1, bench.answers.size());
@@ -162,14 +162,14 @@
 /// What waited for an endpoint when all were drained waits in vain.
 TEST(DataCentreDrain, AWaitingRequestIsRefusedAtOnceToo)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     for (int i = 0; i < 3; ++i) {
         const EndpointEntry &engine = *bench.snapshot->endpoint(fmt::format("engine-{}", i));
         engine.load->limit = 0; // All are full.
     }
     bench.arrive("/read/1");
     LONGS_EQUAL(0, bench.answers.size());
-    bench.snapshot = snapshotOf(carriedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
+    bench.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
     bench.advance(milliseconds(10));
     LONGS_EQUAL(1, bench.answers.size());
     CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
@@ -179,10 +179,10 @@
 /// Planned work cuts nothing off.
 TEST(DataCentreDrain, WhatIsUnderWayEndsThere)
 {
-    CarriedBench bench(1);
+    ProxiedFixture bench(1);
     bench.arrive("/read/1");
     LONGS_EQUAL(1, bench.sends.size());
-    bench.snapshot = snapshotOf(carriedConfiguration(1), {"dc1"}, bench.snapshot.get());
+    bench.snapshot = snapshotOf(proxiedConfiguration(1), {"dc1"}, bench.snapshot.get());
     bench.advance(milliseconds(100));
     LONGS_EQUAL(0, bench.cancels.size());
     bench.answer(bench.sends.at(0));
--- a/unittests/Kernel/endpointpausetest.cpp
+++ b/unittests/Kernel/endpointpausetest.cpp
@@ -1,6 +1,6 @@
 //===- endpointpausetest.cpp - Tests of pauses that endpoints ask for -----===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/piecebatcher.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-struct PauseBench : CarriedBench
+struct PauseBench : ProxiedFixture
 {
     /// The endpoint of \p stage does not run it, and says so with \p notice.
     void refuse(const SendStage &stage, const EndpointNotice &notice)
--- a/unittests/Kernel/pieceloadtest.cpp
+++ b/unittests/Kernel/pieceloadtest.cpp
@@ -8,7 +8,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/piecebatcher.h"
 #include "harelink/Kernel/piecerouter.h"
@@ -51,7 +51,7 @@
 std::vector<Resource> configurationOf(const Load &load)
 {
     // Twelve engines: what binds is the stage.
-    std::vector<Resource> resources = carriedConfiguration(12);
+    std::vector<Resource> resources = proxiedConfiguration(12);
     for (Resource &resource : resources) {
         if (auto *pool = std::get_if<PoolSpec>(&resource.spec); pool != nullptr && pool->pieces) {
             pool->pieces->batch = 8;
@@ -239,7 +239,7 @@
     }
 
     Load m_load;
-    CarriedBench m_bench;
+    ProxiedFixture m_bench;
     Makers m_makers;
     PieceBatcher m_batcher;
     Tally m_tally;
--- a/unittests/Kernel/carriedfixture.h
+++ b/unittests/Kernel/proxiedfixture.h
@@ -1,7 +1,7 @@
-//===- carriedfixture.h - Carried requests for kernel tests -----*- C++ -*-===//
+//===- proxiedfixture.h - Proxied requests for kernel tests -----*- C++ -*-===//
 
-#ifndef HARELINK_UNITTESTS_KERNEL_CARRIEDFIXTURE_H
-#define HARELINK_UNITTESTS_KERNEL_CARRIEDFIXTURE_H
+#ifndef HARELINK_UNITTESTS_KERNEL_PROXIEDFIXTURE_H
+#define HARELINK_UNITTESTS_KERNEL_PROXIEDFIXTURE_H
 
 #include "piecefixture.h"
 
@@ -26,7 +26,7 @@
 /// Routes of host "api.example": /record/ may not be repeated; /read/ may; /read/deep/
 /// is public; /brief/ needs two pieces and then one made from them; /talk/ is a stream
 /// that may be resumed, /say/ one that may not; /talk/pieces/ may be and needs pieces.
-inline std::vector<Resource> carriedConfiguration(int engines = 3)
+inline std::vector<Resource> proxiedConfiguration(int engines = 3)
 {
     std::vector<Resource> resources = pieceConfiguration(2, 4);
     ClientAccountSpec account{"drivers", 1, ""};
@@ -69,12 +69,12 @@
     return resources;
 }
 
-/// A machine with carried requests.
-struct CarriedBench
+/// A machine with proxied requests.
+struct ProxiedFixture
 {
-    explicit CarriedBench(int engines = 3, int daemonCount = 9, std::uint64_t seed = 1)
+    explicit ProxiedFixture(int engines = 3, int daemonCount = 9, std::uint64_t seed = 1)
         : daemons(daemonCount)
-        , snapshot(buildSnapshot(carriedConfiguration(engines), 1, "dc1", nullptr))
+        , snapshot(buildSnapshot(proxiedConfiguration(engines), 1, "dc1", nullptr))
         , machine(clock, Registry<RoutingPolicy>::instance().make("prompt-home"), seed, limits())
     {
     }
@@ -89,22 +89,22 @@
                      std::vector<std::uint32_t> pieces = {}, std::uint64_t tokens = 0,
                      std::optional<Duration> timeAllowed = std::nullopt)
     {
-        auto carried = std::make_shared<CarriedRequest>();
-        carried->callerId = fmt::format("caller-{}", ++lastSequence);
-        carried->method = "POST";
-        carried->target = path;
-        carried->host = "api.example";
-        carried->path = path;
-        carried->apiKey = key;
-        carried->pieceCounts = std::move(pieces);
-        carried->pieceKey = "piece-key";
-        carried->promptTokens = tokens;
+        auto proxied = std::make_shared<ProxiedRequest>();
+        proxied->callerId = fmt::format("caller-{}", ++lastSequence);
+        proxied->method = "POST";
+        proxied->target = path;
+        proxied->host = "api.example";
+        proxied->path = path;
+        proxied->apiKey = key;
+        proxied->pieceCounts = std::move(pieces);
+        proxied->pieceKey = "piece-key";
+        proxied->promptTokens = tokens;
         if (tokens > 0) {
-            carried->prompt = {{"shared", tokens / 2}, {"own", tokens - tokens / 2}};
+            proxied->prompt = {{"shared", tokens / 2}, {"own", tokens - tokens / 2}};
         }
         RequestArrived event;
         event.id = {9, lastSequence};
-        event.carried = std::move(carried);
+        event.proxied = std::move(proxied);
         event.timeAllowed = timeAllowed;
         const RequestId id = event.id;
         machine.handle(std::move(event), *snapshot);
@@ -116,18 +116,18 @@
         StageAnswered event;
         event.call = stage.call;
         event.echoed = stage.call;
-        event.carried = CarriedAnswer{status, {}, "body"};
+        event.proxied = ProxiedAnswer{status, {}, "body"};
         machine.handle(std::move(event), *snapshot);
         collect();
     }
     void fail(const SendStage &stage, SendEvidence evidence,
-              std::optional<CarriedAnswer> own = std::nullopt, bool isBroken = false)
+              std::optional<ProxiedAnswer> own = std::nullopt, bool isBroken = false)
     {
         StageFailed event;
         event.call = stage.call;
         event.evidence = evidence;
         event.status = absl::UnavailableError("test");
-        event.carried = std::move(own);
+        event.proxied = std::move(own);
         event.isBroken = isBroken;
         machine.handle(event, *snapshot);
         collect();
@@ -194,4 +194,4 @@
 
 } // namespace harelink::testing
 
-#endif // HARELINK_UNITTESTS_KERNEL_CARRIEDFIXTURE_H
+#endif // HARELINK_UNITTESTS_KERNEL_PROXIEDFIXTURE_H
--- a/unittests/Kernel/carriedtest.cpp
+++ b/unittests/Kernel/proxiedtest.cpp
@@ -1,6 +1,6 @@
-//===- carriedtest.cpp - Tests of carried requests ------------------------===//
+//===- proxiedtest.cpp - Tests of proxied requests ------------------------===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -8,11 +8,11 @@
 using namespace harelink::testing;
 using std::chrono::milliseconds;
 
-TEST_GROUP(Carried){};
+TEST_GROUP(Proxied){};
 
-TEST(Carried, TheLongestPrefixOfTheHostGivesTheRoute)
+TEST(Proxied, TheLongestPrefixOfTheHostGivesTheRoute)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/read/deep/er", "");
     bench.arrive("/read/er");
     LONGS_EQUAL(2, bench.sends.size());
@@ -20,9 +20,9 @@
     STRCMP_EQUAL("drivers", bench.sends[1].account.c_str());
 }
 
-TEST(Carried, WithoutARouteOrAKeyNothingIsSent)
+TEST(Proxied, WithoutARouteOrAKeyNothingIsSent)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/nowhere/");
     bench.arrive("/read/er", "key-3");
     CHECK(bench.sends.empty());
@@ -31,28 +31,28 @@
     CHECK(bench.answers[1].outcome == Outcome::NotRun);
 }
 
-TEST(Carried, TheAnswerGoesBackUnchanged)
+TEST(Proxied, TheAnswerGoesBackUnchanged)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
     bench.answer(bench.sends[0], 201);
     CHECK(bench.answers[0].outcome == Outcome::Completed);
-    LONGS_EQUAL(201, bench.answers[0].carried->status);
-    STRCMP_EQUAL("body", bench.answers[0].carried->body.c_str());
+    LONGS_EQUAL(201, bench.answers[0].proxied->status);
+    STRCMP_EQUAL("body", bench.answers[0].proxied->body.c_str());
 }
 
-TEST(Carried, WhatMayHaveRunIsNotSentAgainWhereItMayNotBeRepeated)
+TEST(Proxied, WhatMayHaveRunIsNotSentAgainWhereItMayNotBeRepeated)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
     bench.fail(bench.sends[0], SendEvidence::Sent);
     LONGS_EQUAL(1, bench.sends.size());
     CHECK(bench.answers[0].outcome == Outcome::Unknown);
 }
 
-TEST(Carried, WhatSurelyDidNotRunIsSentElsewhere)
+TEST(Proxied, WhatSurelyDidNotRunIsSentElsewhere)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
     bench.fail(bench.sends[0], SendEvidence::RefusedBeforeRun);
     LONGS_EQUAL(2, bench.sends.size());
@@ -61,22 +61,22 @@
     CHECK(bench.answers[0].outcome == Outcome::Completed);
 }
 
-TEST(Carried, ARepeatableRequestRunsOnNoMoreEndpointsThanItsRouteAllows)
+TEST(Proxied, ARepeatableRequestRunsOnNoMoreEndpointsThanItsRouteAllows)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/read/1");
     bench.fail(bench.sends[0], SendEvidence::Sent);
-    bench.fail(bench.sends[1], SendEvidence::Sent, CarriedAnswer{500, {}, "own failure"});
+    bench.fail(bench.sends[1], SendEvidence::Sent, ProxiedAnswer{500, {}, "own failure"});
     LONGS_EQUAL(2, bench.sends.size());
     CHECK(bench.answers[0].outcome == Outcome::Unknown);
-    LONGS_EQUAL(500, bench.answers[0].carried->status);
+    LONGS_EQUAL(500, bench.answers[0].proxied->status);
 }
 
-TEST(Carried, RepeatsStayWithinTheBudget)
+TEST(Proxied, RepeatsStayWithinTheBudget)
 {
     // 60 requests of which every endpoint fails each: 60 x 0.1 + 200 / 3 repeats, of which
     // three quarters are used.
-    CarriedBench bench;
+    ProxiedFixture bench;
     for (int i = 0; i < 300; ++i) {
         bench.arrive("/read/1");
         const std::size_t first = bench.sends.size() - 1;
@@ -91,9 +91,9 @@
     CHECK(repeats <= 300 * 0.1 + 200 / 3.0);
 }
 
-TEST(Carried, ACallerThatLeavesEndsTheCall)
+TEST(Proxied, ACallerThatLeavesEndsTheCall)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     const RequestId id = bench.arrive("/record/1");
     bench.machine.handle(CallerGone{id}, *bench.snapshot);
     bench.collect();
@@ -101,9 +101,9 @@
     LONGS_EQUAL(0, bench.machine.inProgress());
 }
 
-TEST(Carried, AnAddressTakenOverIsTold)
+TEST(Proxied, AnAddressTakenOverIsTold)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
     StageFailed event;
     event.call = bench.sends[0].call;
@@ -117,9 +117,9 @@
 
 // Events ----------------------------------------------------------------------
 
-TEST(Carried, EachEventIsPassedOnOnceAndInOrder)
+TEST(Proxied, EachEventIsPassedOnOnceAndInOrder)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/say/1");
     bench.event(bench.sends[0], 1);
     bench.event(bench.sends[0], 2);
@@ -133,9 +133,9 @@
     CHECK(bench.answers[0].outcome == Outcome::Unknown);
 }
 
-TEST(Carried, ABrokenStreamGoesOnBehindItsLastEventWhereItMay)
+TEST(Proxied, ABrokenStreamGoesOnBehindItsLastEventWhereItMay)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/talk/1");
     bench.event(bench.sends[0], 1);
     bench.event(bench.sends[0], 2);
@@ -149,9 +149,9 @@
     CHECK(bench.answers[0].outcome == Outcome::Completed);
 }
 
-TEST(Carried, ABrokenStreamEndsWhereItMayNotGoOn)
+TEST(Proxied, ABrokenStreamEndsWhereItMayNotGoOn)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/say/1");
     bench.event(bench.sends[0], 1);
     bench.fail(bench.sends[0], SendEvidence::Sent);
@@ -161,9 +161,9 @@
 
 // Pieces ----------------------------------------------------------------------
 
-TEST(Carried, TheRequestIsSentWithTheResultsOfItsPieces)
+TEST(Proxied, TheRequestIsSentWithTheResultsOfItsPieces)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {2, 1});
     CHECK(bench.sends.empty());
     LONGS_EQUAL(1, bench.orders.size());
@@ -186,17 +186,17 @@
     LONGS_EQUAL(3, bench.frees[0].handles.size());
 }
 
-TEST(Carried, AStageWithoutPiecesIsLeftOut)
+TEST(Proxied, AStageWithoutPiecesIsLeftOut)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {0, 0});
     LONGS_EQUAL(1, bench.sends.size());
     CHECK(bench.sends[0].inputs.empty());
 }
 
-TEST(Carried, LostInputsAreMadeAgain)
+TEST(Proxied, LostInputsAreMadeAgain)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {2, 1});
     bench.pieceEnded(bench.orders[0].orders[0].id, "a");
     bench.pieceEnded(bench.orders[0].orders[1].id, "b");
@@ -206,9 +206,9 @@
     CHECK(bench.answers.empty());
 }
 
-TEST(Carried, APieceThatCannotBeMadeEndsItsRequestUnrun)
+TEST(Proxied, APieceThatCannotBeMadeEndsItsRequestUnrun)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {2, 1});
     bench.pieceEnded(bench.orders[0].orders[0].id, "a");
     bench.pieceEnded(bench.orders[0].orders[1].id, "", PieceFault::Failed);
@@ -217,9 +217,9 @@
     STRCMP_EQUAL("a", bench.frees[0].handles[0].c_str());
 }
 
-TEST(Carried, AResultThatComesTooLateIsFreed)
+TEST(Proxied, AResultThatComesTooLateIsFreed)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     const RequestId id = bench.arrive("/brief/1", "key-1", {1, 0});
     bench.machine.handle(CallerGone{id}, *bench.snapshot);
     bench.collect();
@@ -228,9 +228,9 @@
     STRCMP_EQUAL("a", bench.frees[0].handles[0].c_str());
 }
 
-TEST(Carried, ResultsAreFreedAtTheFirstEventAlsoWhereTheStreamMayBeResumed)
+TEST(Proxied, ResultsAreFreedAtTheFirstEventAlsoWhereTheStreamMayBeResumed)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/talk/pieces/1", "key-1", {1});
     bench.pieceEnded(bench.orders[0].orders[0].id, "a");
     bench.event(bench.sends[0], 1);
@@ -241,10 +241,10 @@
     CHECK(bench.answers[0].outcome == Outcome::Completed);
 }
 
-TEST(Carried, AStreamThatGoesOnElsewhereHasItsResultsMadeAgain)
+TEST(Proxied, AStreamThatGoesOnElsewhereHasItsResultsMadeAgain)
 {
     // Its stream breaks after the time within which its pieces had to be made at first.
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/talk/pieces/1", "key-1", {1});
     bench.pieceEnded(bench.orders[0].orders[0].id, "a");
     bench.event(bench.sends[0], 1);
@@ -267,9 +267,9 @@
 
 // Admission -------------------------------------------------------------------
 
-TEST(Carried, WhatCannotMakeItsDeadlineIsRefusedBeforeAnythingIsSpent)
+TEST(Proxied, WhatCannotMakeItsDeadlineIsRefusedBeforeAnythingIsSpent)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.snapshot->pool("pieces")->pieceLoad->waiting[0] = 200;
     bench.arrive("/brief/1", "key-1", {2, 1});
     CHECK(bench.orders.empty());
@@ -280,11 +280,11 @@
     CHECK(bench.answers[0].retryAfter == milliseconds(5000));
 }
 
-TEST(Carried, WhatIsNotPreparedInTimeIsGivenUpEarly)
+TEST(Proxied, WhatIsNotPreparedInTimeIsGivenUpEarly)
 {
     // Objective 1000 ms, deadline 4000 ms: nothing came of its pieces, so it is refused
     // long before its deadline, and what was ordered is withdrawn.
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {2, 1});
     bench.advance(milliseconds(1400));
     CHECK(bench.answers.empty());
@@ -294,9 +294,9 @@
     LONGS_EQUAL(1, bench.withdrawals.size());
 }
 
-TEST(Carried, AFewThatWillBeLateAreTakenInBehindAllOthers)
+TEST(Proxied, AFewThatWillBeLateAreTakenInBehindAllOthers)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     // A call takes 1.28 s of an objective of 1 s.
     bench.snapshot->pool("pieces")->pieceLoad->slownessPercent = 800;
     for (int i = 0; i < 10; ++i) {
@@ -309,13 +309,13 @@
     }
 }
 
-TEST(Carried, ManyDaemonsTakeNoMoreLateOnesInThanFew)
+TEST(Proxied, ManyDaemonsTakeNoMoreLateOnesInThanFew)
 {
     // A tenth of the daemons take one in at a time, ten times as seldom.
     const auto takenLate = [](int daemons) {
         int taken = 0;
         for (int daemon = 0; daemon < 40; ++daemon) {
-            CarriedBench bench(3, daemons, static_cast<std::uint64_t>(daemon));
+            ProxiedFixture bench(3, daemons, static_cast<std::uint64_t>(daemon));
             bench.snapshot->pool("pieces")->pieceLoad->slownessPercent = 800;
             bench.arrive("/brief/1", "key-1", {1, 0});
             taken += bench.orders.empty() ? 0 : 1;
@@ -328,11 +328,11 @@
     CHECK(ofMany < 12);
 }
 
-TEST(Carried, NoneIsTakenInToBeLateWhereOthersWaitForItsPlaces)
+TEST(Proxied, NoneIsTakenInToBeLateWhereOthersWaitForItsPlaces)
 {
     // Two endpoints take eight pieces with their next calls.
     const auto taken = [](int waiting) {
-        CarriedBench bench;
+        ProxiedFixture bench;
         bench.snapshot->pool("pieces")->pieceLoad->slownessPercent = 800;
         bench.snapshot->pool("pieces")->pieceLoad->waiting[2] = waiting;
         bench.snapshot->pool("pieces")->pieceLoad->endpoints = 2;
@@ -344,10 +344,10 @@
     CHECK_FALSE(taken(40));
 }
 
-TEST(Carried, WhoComesBackWaitsBehindThoseThatCanStillBeInTime)
+TEST(Proxied, WhoComesBackWaitsBehindThoseThatCanStillBeInTime)
 {
     // Objective 1 s. The last caller comes back 1.2 s after its first try.
-    CarriedBench bench;
+    ProxiedFixture bench;
     for (int i = 0; i < 10; ++i) {
         bench.arrive("/talk/pieces/1", "key-1", {1}, 0, milliseconds(4000));
     }
@@ -364,9 +364,9 @@
     LONGS_EQUAL(12, bench.orders.size());
 }
 
-TEST(Carried, PromptsOfOneBeginningGoToOneEngine)
+TEST(Proxied, PromptsOfOneBeginningGoToOneEngine)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     for (int i = 0; i < 6; ++i) {
         bench.arrive("/say/1", "key-1", {}, 4000);
         bench.event(bench.sends.back(), 1);
@@ -377,9 +377,9 @@
     }
 }
 
-TEST(Carried, APromptLeavesItsHomeWhereThatIsBusyForTooLong)
+TEST(Proxied, APromptLeavesItsHomeWhereThatIsBusyForTooLong)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/say/1", "key-1", {}, 4000);
     const std::string home = bench.sends[0].endpoint;
     bench.snapshot->endpoint(home)->load->tokensToReadOfPeers = 45'000;
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -1,7 +1,7 @@
 //===- quarantinetest.cpp - Tests of requests that are not run ------------===//
 
-#include "carriedfixture.h"
 #include "controlfixture.h"
+#include "proxiedfixture.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -12,9 +12,9 @@
 namespace {
 
 /// Puts requests with \p digest under quarantine for \p length from now on.
-void quarantine(CarriedBench &bench, const Hash128 &digest, milliseconds length)
+void quarantine(ProxiedFixture &bench, const Hash128 &digest, milliseconds length)
 {
-    std::vector<Resource> resources = carriedConfiguration();
+    std::vector<Resource> resources = proxiedConfiguration();
     QuarantineSpec spec;
     spec.digest = digest;
     spec.until = bench.clock.wallNow() + length;
@@ -25,7 +25,7 @@
 /// The digest of what bench.arrive(\p path) brings.
 Hash128 digestAt(const std::string &path)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive(path);
     bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
     return bench.broken.at(0).broken.digest;
@@ -75,7 +75,7 @@
 
 TEST(Quarantine, ACopyUnderAnotherIdIsRefusedBeforeAnythingIsSpent)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     quarantine(bench, digestAt("/say/1"), std::chrono::hours(1));
     bench.arrive("/say/1");
     LONGS_EQUAL(0, bench.sends.size());
@@ -86,7 +86,7 @@
 
 TEST(Quarantine, OthersAreServedAsEver)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     quarantine(bench, digestAt("/say/1"), std::chrono::hours(1));
     bench.arrive("/say/2");
     bench.arrive("/say/1", "key-none");
@@ -96,7 +96,7 @@
 
 TEST(Quarantine, WhenItHasRunOutTheRequestIsRunAgain)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     quarantine(bench, digestAt("/say/1"), milliseconds(500));
     bench.clock.advance(milliseconds(600));
     bench.arrive("/say/1");
@@ -105,9 +105,9 @@
 
 TEST(Quarantine, ACopyThatWaitsIsRefusedBeforeItsSend)
 {
-    CarriedBench bench(0);
+    ProxiedFixture bench(0);
     // No endpoint is left: it waits to be sent.
-    bench.snapshot = buildSnapshot(carriedConfiguration(1), 1, "dc1", nullptr);
+    bench.snapshot = buildSnapshot(proxiedConfiguration(1), 1, "dc1", nullptr);
     for (const auto &endpoint : bench.snapshot->pool("engines")->endpoints) {
         endpoint.load->limit.store(0);
     }
@@ -122,7 +122,7 @@
 
 TEST(Quarantine, ARetryIsNotSentAndNotCalledUnrun)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/read/1");
     quarantine(bench, digestAt("/read/1"), std::chrono::hours(1));
     bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
@@ -133,7 +133,7 @@
 
 TEST(Quarantine, PiecesOfSuchARequestAreGivenUpAndFreed)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/brief/1", "key-1", {1, 1});
     const PieceId first = bench.orders.at(0).orders.at(0).id;
     quarantine(bench, bench.orders.at(0).orders.at(0).digest, std::chrono::hours(1));
@@ -145,7 +145,7 @@
 
 TEST(Quarantine, AGoodEndOfASuspectIsTold)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.machine.handle(RequestSuspected{digestAt("/say/1")}, *bench.snapshot);
     bench.arrive("/say/2");
     bench.answer(bench.sends.at(0));
--- a/unittests/Kernel/ratesharestest.cpp
+++ b/unittests/Kernel/ratesharestest.cpp
@@ -1,7 +1,7 @@
 //===- ratesharestest.cpp - Tests of endpoints that state rate limits -----===//
 
-#include "carriedfixture.h"
 #include "controlfixture.h"
+#include "proxiedfixture.h"
 
 #include "harelink/Kernel/rateshares.h"
 
@@ -19,7 +19,7 @@
 
 const std::vector<std::string> allEngines = {"engine-0", "engine-1", "engine-2"};
 
-struct LimitBench : CarriedBench
+struct LimitBench : ProxiedFixture
 {
     void state(const std::string &endpoint, std::optional<double> perSecond, std::size_t hosts = 9)
     {
--- a/unittests/Kernel/regionlimittest.cpp
+++ b/unittests/Kernel/regionlimittest.cpp
@@ -1,6 +1,6 @@
 //===- regionlimittest.cpp - Tests of the regions that may serve ----------===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -13,11 +13,11 @@
 
 using Names = std::vector<std::string>;
 
-/// The configuration of carried requests, with "dc1" in "north" and "dc2" in "south"; route
+/// The configuration of proxied requests, with "dc1" in "north" and "dc2" in "south"; route
 /// "read" and account "drivers" name regions.
 std::vector<Resource> limited(const Names &ofRoute, const Names &ofAccount)
 {
-    std::vector<Resource> resources = carriedConfiguration();
+    std::vector<Resource> resources = proxiedConfiguration();
     for (Resource &resource : resources) {
         if (auto *pipeline = std::get_if<PipelineSpec>(&resource.spec)) {
             pipeline->route->allowedRegions = ofRoute;
@@ -35,7 +35,7 @@
 std::set<std::string> placesOf(const Names &ofRoute, const Names &ofAccount,
                                std::uint64_t tokens = 0)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.snapshot = buildSnapshot(limited(ofRoute, ofAccount), 2, "dc1", nullptr);
     for (int i = 0; i < 20; ++i) {
         bench.arrive("/read/1", "key-1", {}, tokens);
--- a/unittests/Kernel/requestdigesttest.cpp
+++ b/unittests/Kernel/requestdigesttest.cpp
@@ -1,6 +1,6 @@
 //===- requestdigesttest.cpp - Tests of request digests -------------------===//
 
-#include "carriedfixture.h"
+#include "proxiedfixture.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-RequestArrived carriedArrival(const std::string &callerId, const std::string &target,
+RequestArrived proxiedArrival(const std::string &callerId, const std::string &target,
                               const std::string &body)
 {
-    auto carried = std::make_shared<CarriedRequest>();
-    carried->callerId = callerId;
-    carried->method = "POST";
-    carried->host = "api.example";
-    carried->target = target;
-    carried->body = body;
+    auto proxied = std::make_shared<ProxiedRequest>();
+    proxied->callerId = callerId;
+    proxied->method = "POST";
+    proxied->host = "api.example";
+    proxied->target = target;
+    proxied->body = body;
     RequestArrived arrival;
-    arrival.carried = std::move(carried);
+    arrival.proxied = std::move(proxied);
     return arrival;
 }
 
@@ -38,24 +38,24 @@
 
 TEST(RequestDigest, ARequestThatComesAgainHasTheSame)
 {
-    CHECK(digestOf(carriedArrival("a", "/say/1", "x"), "drivers")
-          == digestOf(carriedArrival("b", "/say/1", "x"), "drivers"));
+    CHECK(digestOf(proxiedArrival("a", "/say/1", "x"), "drivers")
+          == digestOf(proxiedArrival("b", "/say/1", "x"), "drivers"));
     CHECK(digestOf(ownArrival(1, "x"), "drivers") == digestOf(ownArrival(2, "x"), "drivers"));
 }
 
 TEST(RequestDigest, AnotherTargetBodyOrAccountIsAnotherRequest)
 {
-    const Hash128 digest = digestOf(carriedArrival("a", "/say/1", "x"), "drivers");
-    CHECK(digest != digestOf(carriedArrival("a", "/say/2", "x"), "drivers"));
-    CHECK(digest != digestOf(carriedArrival("a", "/say/1", "y"), "drivers"));
-    CHECK(digest != digestOf(carriedArrival("a", "/say/1", "x"), "lab"));
+    const Hash128 digest = digestOf(proxiedArrival("a", "/say/1", "x"), "drivers");
+    CHECK(digest != digestOf(proxiedArrival("a", "/say/2", "x"), "drivers"));
+    CHECK(digest != digestOf(proxiedArrival("a", "/say/1", "y"), "drivers"));
+    CHECK(digest != digestOf(proxiedArrival("a", "/say/1", "x"), "lab"));
     CHECK(digestOf(ownArrival(1, "x"), "drivers") != digestOf(ownArrival(1, "x"), "lab"));
     CHECK(digestOf(ownArrival(1, "x"), "drivers") != digestOf(ownArrival(1, "y"), "drivers"));
 }
 
 TEST(RequestDigest, ACallThatBrokeIsToldWithItsRequest)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
     bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
     LONGS_EQUAL(1, bench.broken.size());
@@ -66,8 +66,8 @@
 
 TEST(RequestDigest, AFailureThatTheEndpointAnsweredIsNoBrokenCall)
 {
-    CarriedBench bench;
+    ProxiedFixture bench;
     bench.arrive("/record/1");
-    bench.fail(bench.sends.at(0), SendEvidence::Sent, CarriedAnswer{500, {}, ""});
+    bench.fail(bench.sends.at(0), SendEvidence::Sent, ProxiedAnswer{500, {}, ""});
     LONGS_EQUAL(0, bench.broken.size());
 }
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -6,7 +6,7 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#include "../Kernel/carriedfixture.h"
+#include "../Kernel/proxiedfixture.h"
 #include "manifest.h"
 
 #include "harelink/Kernel/configmachineimpl.h"
@@ -113,7 +113,7 @@
 
 TEST(EndpointLives, WhatWasLearntOfALifeIsNotKeptForTheNext)
 {
-    const std::vector<Resource> before = carriedConfiguration();
+    const std::vector<Resource> before = proxiedConfiguration();
     const auto first = buildSnapshot(before, 1, "dc1", nullptr);
     first->endpoint("engine-0")->load->failures = 7;
     first->endpoint("engine-0")->load->leaving = true;
@@ -133,13 +133,13 @@
 
 TEST(EndpointLives, CallsToALifeThatIsOverAreSettledAsForACrash)
 {
-    CarriedBench bench(1);
+    ProxiedFixture bench(1);
     bench.arrive("/record/1");
     bench.arrive("/read/1");
     LONGS_EQUAL(2, bench.sends.size());
     STRCMP_EQUAL("engine-0", bench.sends[0].endpointIdentity.c_str());
     bench.snapshot =
-        buildSnapshot(withNextLife(carriedConfiguration(1), "engine-0"), 2, "dc1", nullptr);
+        buildSnapshot(withNextLife(proxiedConfiguration(1), "engine-0"), 2, "dc1", nullptr);
     bench.machine.handle(EndpointEnded{"engine-0"}, *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(2, bench.cancels.size());
--- a/unittests/Platform/requeststest.cpp
+++ b/unittests/Platform/requeststest.cpp
@@ -51,7 +51,7 @@
     stage.account = "t1";
     stage.timeout = milliseconds(750);
     stage.inputs = {"10.0.0.2:80/a", "10.0.0.2:80/b"};
-    stage.carried = dialect.read(request())->carried;
+    stage.proxied = dialect.read(request())->proxied;
     return stage;
 }
 
@@ -88,15 +88,15 @@
 {
     const auto arrival = dialect.read(request());
     CHECK(arrival.ok());
-    const CarriedRequest &carried = *arrival->carried;
+    const ProxiedRequest &proxied = *arrival->proxied;
     CHECK(*arrival->timeAllowed == milliseconds(800));
-    STRCMP_EQUAL("a.example", carried.host.c_str());
-    STRCMP_EQUAL("k1", carried.apiKey.c_str());
-    LONGS_EQUAL(1460, carried.promptTokens);
-    LONGS_EQUAL(3, carried.prompt.size());
-    LONGS_EQUAL(410, carried.prompt[1].tokens);
-    LONGS_EQUAL(3, carried.pieceCounts.size());
-    LONGS_EQUAL(16, carried.pieceCounts[2]);
+    STRCMP_EQUAL("a.example", proxied.host.c_str());
+    STRCMP_EQUAL("k1", proxied.apiKey.c_str());
+    LONGS_EQUAL(1460, proxied.promptTokens);
+    LONGS_EQUAL(3, proxied.prompt.size());
+    LONGS_EQUAL(410, proxied.prompt[1].tokens);
+    LONGS_EQUAL(3, proxied.pieceCounts.size());
+    LONGS_EQUAL(16, proxied.pieceCounts[2]);
 }
 
 TEST(Requests, ABrokenRequestIsAnErrorThatNamesTheFault)
@@ -146,7 +146,7 @@
         }
     }
     SendStage sent = stage(dialect);
-    sent.carried = dialect.read(forged)->carried;
+    sent.proxied = dialect.read(forged)->proxied;
     const HttpCall call = dialect.encode(sent);
     for (const std::string &name : ofDaemon) {
         CHECK_FALSE_TEXT(has(call, name + ": forged"), name.c_str());
@@ -222,7 +222,7 @@
 TEST(Requests, AStreamIsPassedOnInWholeEventsOnly)
 {
     const SendStage sent = stage(dialect);
-    CarriedStream stream(dialect, sent);
+    ProxiedStream stream(dialect, sent);
     HttpResult head = result(200, {{"X-Request-Id", "r-1"},
                                    {"X-Server-Seal", "s"},
                                    {"Content-Type", "text/event-stream"},
@@ -239,7 +239,7 @@
 TEST(Requests, AStreamWithoutFramingNeverLooksWhole)
 {
     const SendStage sent = stage(dialect);
-    CarriedStream stream(dialect, sent);
+    ProxiedStream stream(dialect, sent);
     const HttpResult head = result(
         200,
         {{"X-Request-Id", "r-1"}, {"X-Server-Seal", "s"}, {"Content-Type", "text/event-stream"}});
