--- a/include/harelink/Kernel/claimrouterimpl.h
+++ b/include/harelink/Kernel/claimrouterimpl.h
@@ -64,7 +64,7 @@
 template <typename What>
 void BasicClaimRouter<G>::send(Pending<What> &pending)
 {
-    const std::string owner = softOwner(bucketOf(pending.what.key), m_membership.candidates());
+    const std::string owner = preferredOwner(bucketOf(pending.what.key), m_membership.candidates());
     const std::string address = m_membership.addressOf(owner);
     const bool own = owner == m_membership.host() || address.empty();
     if (own || pending.tries >= claimrouter::mostTries) {
--- a/include/harelink/Kernel/configgossip.h
+++ b/include/harelink/Kernel/configgossip.h
@@ -38,22 +38,22 @@
     /// Whether this daemon is to watch the platform now.
     [[nodiscard]] bool shouldWatch() const;
     /// Takes in whether the platform answers this daemon.
-    void noteConnected(bool connected) { m_connected = connected; }
+    void setConnected(bool connected) { m_connected = connected; }
     /// Takes in whether heartbeats go through relays. What digests tell then rides in them,
     /// and in the relays' summaries: watchers that told all of their data centre each second
     /// sent a third of all messages of 300 daemons.
-    void noteRelayed(bool isRelayed) { m_isRelayed = isRelayed; }
+    void setRelayed(bool isRelayed) { m_isRelayed = isRelayed; }
     /// Whether this daemon watches and the platform answers it.
     [[nodiscard]] bool watchesConnected() const { return m_connected && shouldWatch(); }
     /// Whether this daemon, or one of its data centre that it heard of lately, does.
-    [[nodiscard]] bool isWatched() const { return watchesConnected() || hearsOfWatcher(); }
+    [[nodiscard]] bool hasWatcher() const { return watchesConnected() || hasRecentWatcher(); }
     /// Whether one of this daemon's data centre said at \p time or later that it does.
-    [[nodiscard]] bool heardOfWatcherSince(TimePoint time) const
+    [[nodiscard]] bool watcherSeenSince(TimePoint time) const
     {
-        return hearsOfWatcher() && m_watcherHeard >= time;
+        return hasRecentWatcher() && m_watcherHeard >= time;
     }
     /// Pushes what the table learnt from the platform.
-    void pushNews();
+    void pushUpdates();
     /// Takes in a peer's news; true where what is in force changed.
     bool handle(const ConfigPush &push);
     /// Takes in a peer's digest.
@@ -64,7 +64,7 @@
     [[nodiscard]] TimePoint nextTick() const;
 
 private:
-    [[nodiscard]] bool hearsOfWatcher() const;
+    [[nodiscard]] bool hasRecentWatcher() const;
     [[nodiscard]] Duration differencePatience() const;
     void send(const std::string &host, decltype(PeerMessage::content) content);
     [[nodiscard]] ConfigDigest digest(bool detailed, bool reply) const;
--- a/include/harelink/Kernel/configgossipimpl.h
+++ b/include/harelink/Kernel/configgossipimpl.h
@@ -70,7 +70,7 @@
 }
 
 template <GuardPolicy G>
-bool BasicConfigGossip<G>::hearsOfWatcher() const
+bool BasicConfigGossip<G>::hasRecentWatcher() const
 {
     return m_watcherHeard != TimePoint::min()
            && m_clock.now() - m_watcherHeard <= configgossip::watcherSilence;
@@ -114,10 +114,10 @@
 }
 
 template <GuardPolicy G>
-void BasicConfigGossip<G>::pushNews()
+void BasicConfigGossip<G>::pushUpdates()
 {
     ConfigPush push;
-    push.objects = m_table.takeNews();
+    push.objects = m_table.takeUpdates();
     if (push.objects.empty()) {
         return;
     }
@@ -142,7 +142,7 @@
         changed = m_table.apply(object) || changed;
     }
     // What came from a peer is not pushed again: digests carry it further.
-    (void)m_table.takeNews();
+    (void)m_table.takeUpdates();
     forgetMatching();
     return changed;
 }
--- a/include/harelink/Kernel/configmachine.h
+++ b/include/harelink/Kernel/configmachine.h
@@ -41,7 +41,7 @@
     Version inForce = 0;             ///< The version that is applied; 0 for none.
     std::vector<Resource> resources; ///< As applied: the last good ones.
     std::string fault;               ///< Why the version seen is not in force; empty where it is.
-    WallTime newestStart;            ///< Of an endpoint: the beginning of its newest life seen.
+    WallTime latestStartedAt;        ///< Of an endpoint: the beginning of its newest life seen.
 };
 
 /// The declared objects of one daemon. Versions only rise.
@@ -63,14 +63,17 @@
                       const std::vector<std::string> &kinds = resourceKinds());
     /// The deletions that a listing of \p kinds as of \p revision brings by what it lacks.
     [[nodiscard]] std::vector<PlatformObject>
-    deletionsBy(const std::vector<PlatformObject> &objects, Version revision,
-                const std::vector<std::string> &kinds) const;
+    impliedDeletions(const std::vector<PlatformObject> &objects, Version revision,
+                     const std::vector<std::string> &kinds) const;
     /// What is held of the endpoint called \p name; null where it was never declared.
     [[nodiscard]] const ConfigEntry *endpoint(const std::string &name) const;
     /// Whether the endpoint called \p name has started again under another name since.
     [[nodiscard]] bool hasEnded(const std::string &name) const;
     /// The endpoints that have ended so since the last call.
-    [[nodiscard]] std::vector<std::string> takeEnded() { return std::exchange(m_ended, {}); }
+    [[nodiscard]] std::vector<std::string> takeEndedEndpoints()
+    {
+        return std::exchange(m_ended, {});
+    }
     /// The faults found since the last call; one that stays the same is told once.
     [[nodiscard]] std::vector<ConfigFault> takeFaults() { return std::exchange(m_faults, {}); }
     /// How many objects could not be read.
@@ -82,12 +85,12 @@
     [[nodiscard]] Version revision() const;
     [[nodiscard]] const std::map<Key, ConfigEntry> &entries() const { return m_entries; }
     /// The news that were taken in since the last call, for passing on.
-    [[nodiscard]] std::vector<PlatformObject> takeNews() { return std::exchange(m_news, {}); }
+    [[nodiscard]] std::vector<PlatformObject> takeUpdates() { return std::exchange(m_news, {}); }
     /// A hash over the versions seen, the same for the same versions. It is asked for at each
     /// heartbeat that a relay hears, so it is kept and not made from all entries.
     [[nodiscard]] std::uint64_t summary() const { return m_summary; }
     /// How often older news came in and was dropped.
-    [[nodiscard]] std::uint64_t droppedNews() const { return m_droppedNews; }
+    [[nodiscard]] std::uint64_t droppedUpdates() const { return m_droppedUpdates; }
 
 private:
     [[nodiscard]] static std::uint64_t hashOf(const Key &key, Version seen);
@@ -104,7 +107,7 @@
     std::vector<std::string> m_ended;
     std::vector<ConfigFault> m_faults;
     std::uint64_t m_summary = 0; ///< The sum over entries, so their order does not matter.
-    std::uint64_t m_droppedNews = 0;
+    std::uint64_t m_droppedUpdates = 0;
     std::uint64_t m_unreadable = 0;
 };
 
@@ -129,7 +132,10 @@
     /// Whether the platform answered the last call.
     [[nodiscard]] bool connected() const { return m_connected; }
     /// Whether the platform answered the last call, and one that was made at \p time or later.
-    [[nodiscard]] bool heardSince(TimePoint time) const { return m_connected && m_heardAt >= time; }
+    [[nodiscard]] bool answeredSince(TimePoint time) const
+    {
+        return m_connected && m_heardAt >= time;
+    }
     /// Whether it follows objects of \p kind.
     [[nodiscard]] bool follows(const std::string &kind) const
     {
@@ -141,15 +147,15 @@
         return m_kinds.size() == 1 && m_kinds.front() == kind;
     }
     /// Whether the last call to the platform, of this watcher or not, failed.
-    [[nodiscard]] bool isAway() const { return m_away; }
+    [[nodiscard]] bool isPlatformUnreachable() const { return m_away; }
     /// Whether a whole listing has been seen.
     [[nodiscard]] bool synced() const { return m_synced; }
     [[nodiscard]] TimePoint nextTick() const;
     /// Takes in whether the platform answered any call, of this watcher or not.
-    void notePlatform(bool answered);
+    void recordPlatformAnswer(bool answered);
     /// Applies the deletions that were held back long enough; true where what is in
     /// force changed.
-    bool applyHeld();
+    bool applyDelayedDeletions();
 
 private:
     void backOff();
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -66,7 +66,7 @@
         m_summary += hashOf(key, entry.seen);
     }
     if (G::dropsOlderNews && news.version <= entry.seen) {
-        m_droppedNews += news.version < entry.seen ? 1 : 0;
+        m_droppedUpdates += news.version < entry.seen ? 1 : 0;
         return false;
     }
     m_summary += hashOf(key, news.version) - hashOf(key, entry.seen);
@@ -129,13 +129,13 @@
     if (life == nullptr) {
         return true;
     }
-    if (G::dropsOlderNews && life->startedAt < entry.newestStart) {
+    if (G::dropsOlderNews && life->startedAt < entry.latestStartedAt) {
         entry.fault = fmt::format("{} has started again since", life->name);
         m_faults.push_back(
             {news.kind, news.name, news.version, entry.fault, !entry.resources.empty()});
         return false;
     }
-    entry.newestStart = life->startedAt;
+    entry.latestStartedAt = life->startedAt;
     m_objectsByEndpoint[life->name] = news.name;
     if (!entry.resources.empty() && entry.resources.front().name != life->name) {
         m_ended.push_back(entry.resources.front().name);
@@ -145,8 +145,8 @@
 
 template <GuardPolicy G>
 std::vector<PlatformObject>
-BasicConfigTable<G>::deletionsBy(const std::vector<PlatformObject> &objects, Version revision,
-                                 const std::vector<std::string> &kinds) const
+BasicConfigTable<G>::impliedDeletions(const std::vector<PlatformObject> &objects, Version revision,
+                                      const std::vector<std::string> &kinds) const
 {
     std::set<Key> listed;
     for (const PlatformObject &object : objects) {
@@ -176,7 +176,7 @@
     for (const PlatformObject &object : objects) {
         changed = apply(object) || changed;
     }
-    for (const PlatformObject &deletion : deletionsBy(objects, revision, kinds)) {
+    for (const PlatformObject &deletion : impliedDeletions(objects, revision, kinds)) {
         changed = apply(deletion) || changed;
     }
     return changed;
@@ -287,11 +287,11 @@
         return false;
     }
     if (result.outcome != PlatformOutcome::Ok) {
-        notePlatform(false);
+        recordPlatformAnswer(false);
         backOff();
         return false;
     }
-    notePlatform(true);
+    recordPlatformAnswer(true);
     m_backOff = configwatcher::firstBackOff;
     if (m_listing && result.more && result.objects.empty()) {
         // There is no name to go on behind, and from the beginning it would come again.
@@ -333,7 +333,8 @@
     for (const PlatformObject &object : objects) {
         changed = m_table.apply(object) || changed;
     }
-    for (const PlatformObject &deletion : m_table.deletionsBy(objects, result.version, m_kinds)) {
+    for (const PlatformObject &deletion :
+         m_table.impliedDeletions(objects, result.version, m_kinds)) {
         changed = take(deletion) || changed;
     }
     return changed;
@@ -361,7 +362,7 @@
 }
 
 template <GuardPolicy G>
-void BasicConfigWatcher<G>::notePlatform(bool answered)
+void BasicConfigWatcher<G>::recordPlatformAnswer(bool answered)
 {
     if (answered && m_away) {
         m_regainedAt = m_clock.now();
@@ -370,7 +371,7 @@
 }
 
 template <GuardPolicy G>
-bool BasicConfigWatcher<G>::applyHeld()
+bool BasicConfigWatcher<G>::applyDelayedDeletions()
 {
     if (m_held.empty() || m_away || m_clock.now() - m_regainedAt < configwatcher::lapseAllowance) {
         return false;
--- a/include/harelink/Kernel/controlmachine.h
+++ b/include/harelink/Kernel/controlmachine.h
@@ -67,9 +67,9 @@
     /// the platform knows its hosts by itself.
     std::string hostKind;
     /// How long requests under which endpoints ended are not run, unless an operator lifts it.
-    std::chrono::milliseconds quarantineLength = std::chrono::hours(24);
-    double capacity = 1;            ///< Of this host, in cores of a processor.
-    std::size_t mostMeshPeers = 16; ///< With more peers heartbeats go through relays.
+    std::chrono::milliseconds quarantineDuration = std::chrono::hours(24);
+    double capacity = 1;           ///< Of this host, in cores of a processor.
+    std::size_t maxMeshPeers = 16; ///< With more peers heartbeats go through relays.
 };
 
 /// The control of one daemon. \p G is AllGuards in the product.
@@ -88,20 +88,20 @@
     void handle(BrokenCall call);
     /// The connection of a call of pieces ended in the middle: if its endpoint has ended, all
     /// requests that have a piece in it are suspects.
-    void pieceCallBroken(const PieceCall &call, TimePoint sentAt);
+    void handleBrokenPieceCall(const PieceCall &call, TimePoint sentAt);
     void handle(const EndpointProbed &event) { m_crashes.handle(event); }
     void handle(const EndpointLimitStated &event);
     void handle(const RequestCleared &event) { m_crashes.handle(event); }
     /// Own use since the last call, for the next heartbeats.
-    void noteUsage(std::vector<UsageReport> usage) { m_ownUsage = std::move(usage); }
+    void recordUsage(std::vector<UsageReport> usage) { m_ownUsage = std::move(usage); }
     /// The endpoints that this daemon batches for, for the next heartbeats.
-    void noteBacklogs(std::vector<PieceBacklog> backlogs) { m_backlogs = std::move(backlogs); }
+    void recordBacklogs(std::vector<PieceBacklog> backlogs) { m_backlogs = std::move(backlogs); }
     /// What this daemon has sent to model engines, for the next heartbeats.
-    void notePrompts(std::vector<PromptBacklog> prompts) { m_prompts = std::move(prompts); }
+    void recordPrompts(std::vector<PromptBacklog> prompts) { m_prompts = std::move(prompts); }
     /// Where this daemon listens for peers, once that is known.
     void setPeerAddress(const std::string &address) { m_membership.setAddress(address); }
     /// An endpoint itself said that it is leaving.
-    void endpointLeaving(const std::string &endpoint) { noteLeaving(endpoint); }
+    void handleEndpointLeaving(const std::string &endpoint) { noteLeaving(endpoint); }
     [[nodiscard]] const EndpointLimits &limits() const { return m_limits; }
     /// The endpoints that are leaving, as far as is known.
     [[nodiscard]] std::vector<std::string> leavingEndpoints() const;
@@ -165,7 +165,7 @@
     [[nodiscard]] bool isToldOfHosts() const;
     void pollHostList();
     void takeHostListResult(const PlatformResult &result);
-    void takeHostList(const std::vector<PlatformObject> &hosts);
+    void handleHostList(const std::vector<PlatformObject> &hosts);
     void noteLeaving(const std::string &endpoint);
     void takeLimits(const std::vector<EndpointLimitReport> &reports);
     [[nodiscard]] bool knowsAllKinds() const;
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -52,13 +52,13 @@
     , m_config(*options.objects)
     , m_membership(clock, options.host, options.peerAddress, options.dataCentre,
                    options.incarnation)
-    , m_relay(clock, m_membership, options.mostMeshPeers)
+    , m_relay(clock, m_membership, options.maxMeshPeers)
     , m_gossip(clock, m_membership, m_config, options.watchersPerDataCentre)
     , m_ledger(
           clock, [this](Incarnation incarnation) { return m_membership.hostOf(incarnation); },
           options.claims)
     , m_router(clock, m_membership, m_ledger)
-    , m_crashes(clock, m_membership, options.objects->quarantineKind(), options.quarantineLength)
+    , m_crashes(clock, m_membership, options.objects->quarantineKind(), options.quarantineDuration)
     , m_startedAt(clock.now())
     , m_nextHostList(clock.now())
     , m_keepsClaims(options.keepsClaims)
@@ -86,11 +86,11 @@
     const ObjectReader &reader = m_config.reader();
     const auto isCurrent = [this, &reader](const BasicConfigWatcher<G> &watcher) {
         return watcher.followsOnly(reader.quarantineKind())
-               || watcher.followsOnly(reader.drainKind()) || watcher.heardSince(m_resumedAt);
+               || watcher.followsOnly(reader.drainKind()) || watcher.answeredSince(m_resumedAt);
     };
     const bool receives = m_gossip.shouldWatch()
                               ? std::all_of(m_watchers.begin(), m_watchers.end(), isCurrent)
-                              : m_gossip.heardOfWatcherSince(m_resumedAt);
+                              : m_gossip.watcherSeenSince(m_resumedAt);
     return receives ? nextTick() + controlmachine::mostTurnDelay : TimePoint::min();
 }
 
@@ -131,7 +131,7 @@
     const bool isConflict = result.outcome == PlatformOutcome::Conflict;
     // A host that starts again stands there already, as it was: one call less for each.
     m_announced = result.outcome == PlatformOutcome::Ok
-                  || (isConflict && m_membership.isDeclaredBy(result.value));
+                  || (isConflict && m_membership.matchesDeclaration(result.value));
     if (isConflict) {
         m_announcedOver = result.version;
         return true;
@@ -152,7 +152,7 @@
     for (PeerSend &send : m_gossip.takeSends()) {
         m_output.sends.push_back(std::move(send));
     }
-    m_output.endedEndpoints = m_config.takeEnded();
+    m_output.endedEndpoints = m_config.takeEndedEndpoints();
     m_output.faults = m_config.takeFaults();
     for (ClaimDecision &decision : m_router.takeDecisions()) {
         m_output.decisions.push_back(std::move(decision));
@@ -204,7 +204,7 @@
 }
 
 template <GuardPolicy G>
-void BasicControlMachine<G>::pieceCallBroken(const PieceCall &call, TimePoint sentAt)
+void BasicControlMachine<G>::handleBrokenPieceCall(const PieceCall &call, TimePoint sentAt)
 {
     std::set<Hash128> seen;
     for (const PieceOrder &order : call.orders) {
@@ -261,14 +261,14 @@
         m_resumedAt = now;
     }
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
-        m_configPending = watcher.applyHeld() || m_configPending;
+        m_configPending = watcher.applyDelayedDeletions() || m_configPending;
         if (mayCall(watcher)) {
             watcher.tick(m_output.calls, m_nextCallId);
         }
     }
     announce();
-    m_gossip.noteConnected(connected());
-    m_gossip.noteRelayed(m_relay.isRelayed());
+    m_gossip.setConnected(connected());
+    m_gossip.setRelayed(m_relay.isRelayed());
     m_gossip.tick();
     pollHostList();
     if (m_membership.heartbeatsDue()) {
@@ -281,7 +281,7 @@
     if (m_keepsClaims && m_membership.listsVersion() != m_ownedAtVersion) {
         m_ownedAtVersion = m_membership.listsVersion();
         for (std::size_t i = 0; i < claimBucketCount; ++i) {
-            m_ledger.own(i, softOwner(i, m_membership.candidates()) == m_membership.host());
+            m_ledger.own(i, preferredOwner(i, m_membership.candidates()) == m_membership.host());
         }
     }
     m_router.tick();
@@ -302,7 +302,7 @@
     own.limits = m_limits.reports(m_clock.now());
     own.configSummary = m_config.summary();
     // A heartbeat tells whether this daemon watches, a relay's summary whether anybody does.
-    own.watches = m_gossip.isWatched();
+    own.watches = m_gossip.hasWatcher();
     const bool watches = m_gossip.watchesConnected();
     for (PeerSend &send : m_membership.dueHeartbeats(m_relay.targets())) {
         auto &content = std::get<Heartbeat>(send.message.content);
@@ -386,7 +386,7 @@
     const bool answered =
         result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Silent;
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
-        watcher.notePlatform(answered);
+        watcher.recordPlatformAnswer(answered);
     }
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
         if (watcher.owns(result.id)) {
@@ -395,9 +395,9 @@
             const bool isNews = watcher.synced();
             m_configPending = watcher.handle(result) || m_configPending;
             if (isNews) {
-                m_gossip.pushNews();
+                m_gossip.pushUpdates();
             } else {
-                (void)m_config.takeNews();
+                (void)m_config.takeUpdates();
             }
             return;
         }
@@ -420,7 +420,7 @@
     const bool listed = result.outcome == PlatformOutcome::Ok;
     if (listed) {
         m_hostListRead = true;
-        takeHostList(result.objects);
+        handleHostList(result.objects);
     }
     const TimePoint now = m_clock.now();
     // Only where it names the daemons is the list a matter of their meeting; elsewhere it
@@ -441,7 +441,7 @@
 template <GuardPolicy G>
 void BasicControlMachine<G>::handle(const PeerMessage &message)
 {
-    m_membership.heard(message);
+    m_membership.recordMessage(message);
     std::visit([&](const auto &content) { handle(message, content); }, message.content);
 }
 
@@ -450,11 +450,11 @@
 template <typename Content>
 void BasicControlMachine<G>::takeFigures(const std::string &source, const Content &content)
 {
-    PeerTotals<std::string>::Figures prompts;
+    PeerTotals<std::string>::Values prompts;
     for (const PromptBacklog &prompt : content.prompts) {
         prompts[prompt.endpoint] = prompt.tokens;
     }
-    m_peerPrompts.take(source, std::move(prompts));
+    m_peerPrompts.update(source, std::move(prompts));
     m_output.usage.insert(m_output.usage.end(), content.usage.begin(), content.usage.end());
     m_output.backlogs.insert(m_output.backlogs.end(), content.backlogs.begin(),
                              content.backlogs.end());
@@ -463,12 +463,12 @@
 template <GuardPolicy G>
 void BasicControlMachine<G>::handle(const PeerMessage &message, const Heartbeat &content)
 {
-    m_relay.take(message.host, content);
+    m_relay.handle(message.host, content);
     if (m_relay.isRelayed()) {
         m_gossip.handle(message.host, digestOf(content.configSummary, content.watches));
     }
-    if (m_relay.countsHeartbeatOf(content.dataCentre)) {
-        m_peerDemand.take(message.host, content.usage);
+    if (m_relay.usesHeartbeatsFrom(content.dataCentre)) {
+        m_peerDemand.update(message.host, content.usage);
         takeFigures(message.host, content);
     }
     m_leavingKnown = m_leavingKnown || content.leavingKnown;
@@ -497,20 +497,20 @@
     }
     const std::string dataCentre = sender->second.dataCentre;
     const bool isLocal = dataCentre == m_membership.dataCentre();
-    m_relay.take(dataCentre, content);
+    m_relay.handle(dataCentre, content);
     const std::string scope = isLocal ? std::string() : dataCentre;
     if (content.hasHosts) {
-        m_membership.reported(content.hosts, scope);
-        m_relay.noteHostList(message.host, scope, content.hostsHash);
+        m_membership.handleHostReports(content.hosts, scope);
+        m_relay.recordHostList(message.host, scope, content.hostsHash);
     } else if (m_relay.renewHostList(message.host, content.hostsHash)) {
-        m_membership.stillReported(scope);
+        m_membership.renewHostReports(scope);
     }
-    m_gossip.handle(message.host, digestOf(content.configSummary, content.watched));
-    if (m_relay.countsSummaryOf(dataCentre)) {
+    m_gossip.handle(message.host, digestOf(content.configSummary, content.hasWatcher));
+    if (m_relay.usesSummariesFrom(dataCentre)) {
         const std::string source = "summary of " + dataCentre;
         takeFigures(source, content);
-        if (content.isWhole) {
-            m_peerDemand.takeSummary(source, content.usage);
+        if (content.hasUsage) {
+            m_peerDemand.updateFromSummary(source, content.usage);
         }
     }
     m_leavingKnown = m_leavingKnown || content.leavingKnown;
@@ -585,9 +585,9 @@
 }
 
 template <GuardPolicy G>
-void BasicControlMachine<G>::takeHostList(const std::vector<PlatformObject> &hosts)
+void BasicControlMachine<G>::handleHostList(const std::vector<PlatformObject> &hosts)
 {
-    m_membership.takeHostList(hosts);
+    m_membership.handleHostList(hosts);
     m_leavingKnown = true;
     for (const PlatformObject &host : hosts) {
         const nlohmann::json value = nlohmann::json::parse(host.value, nullptr, false);
@@ -663,7 +663,7 @@
         return true;
     }
     if (watcher.followsOnly(reader.drainKind())) {
-        return watcher.isAway();
+        return watcher.isPlatformUnreachable();
     }
     const auto &entries = m_config.entries();
     return std::any_of(entries.begin(), entries.end(), [&watcher](const auto &entry) {
--- a/include/harelink/Kernel/membership.h
+++ b/include/harelink/Kernel/membership.h
@@ -29,7 +29,7 @@
     Incarnation incarnation = 0;             ///< Of its last heartbeat; 0 before the first.
     bool leaving = false;                    ///< Of this incarnation; never goes back to false.
     double capacity = 1;                     ///< In cores of a processor.
-    TimePoint lastHeard;                     ///< From itself.
+    TimePoint lastSeen;                      ///< From itself.
     TimePoint reportedAt = TimePoint::min(); ///< Last reported to live by a relay.
 };
 
@@ -37,8 +37,8 @@
 struct HeartbeatTarget
 {
     std::string host;
-    bool wantsSummary = false;    ///< It is to answer with a summary.
-    std::uint64_t hostsKnown = 0; ///< As in Heartbeat.
+    bool wantsSummary = false;        ///< It is to answer with a summary.
+    std::uint64_t knownHostsHash = 0; ///< As in Heartbeat.
 };
 
 /// The hosts as one daemon sees them.
@@ -47,7 +47,7 @@
 public:
     /// A host is taken to live this long after a relay's report, which comes at each of its
     /// summaries.
-    static constexpr std::chrono::milliseconds reportLife{2500};
+    static constexpr std::chrono::milliseconds reportTtl{2500};
 
     /// \param clock outlives the membership.
     Membership(const Clock &clock, std::string host, std::string address, std::string dataCentre,
@@ -55,33 +55,36 @@
 
     /// Takes in the platform's host list: objects whose value is a JSON object
     /// with "dataCentre", "peers" and "state".
-    void takeHostList(const std::vector<PlatformObject> &hosts);
+    void handleHostList(const std::vector<PlatformObject> &hosts);
     /// Takes in that a message came from \p message's host.
-    void heard(const PeerMessage &message);
+    void recordMessage(const PeerMessage &message);
     /// Takes in a relay's whole list of live hosts of \p dataCentre, or of all where that
     /// is empty: those that it lacks are not reported to live any more.
-    void reported(const std::vector<HostReport> &hosts, const std::string &dataCentre);
+    void handleHostReports(const std::vector<HostReport> &hosts, const std::string &dataCentre);
     /// Takes in that a relay's list is the one that was reported last.
-    void stillReported(const std::string &dataCentre);
+    void renewHostReports(const std::string &dataCentre);
     /// A hash over what hostReports() tells, whatever its order.
     [[nodiscard]] std::uint64_t hostsHash(const std::string &dataCentre) const;
     /// Hosts that are not able tell, and are told, at each so many heartbeats: 1 in a small
     /// data centre, and more with its hosts, so that what a relay hears does not grow as they
     /// do. It divides by what few hosts of it are able, who tell at each.
-    [[nodiscard]] std::uint32_t pace() const { return m_pace; }
-    /// Whether \p peer is able; see ableHosts().
-    [[nodiscard]] bool isAble(const PeerHost &peer) const { return isAble(peer.capacity); }
+    [[nodiscard]] std::uint32_t heartbeatMultiplier() const { return m_heartbeatMultiplier; }
+    /// Whether \p peer is able; see highCapacityHosts().
+    [[nodiscard]] bool hasHighCapacity(const PeerHost &peer) const
+    {
+        return hasHighCapacity(peer.capacity);
+    }
     /// Whether this host is.
-    [[nodiscard]] bool isAble() const { return isAble(m_capacity); }
+    [[nodiscard]] bool hasHighCapacity() const { return hasHighCapacity(m_capacity); }
     /// Whether heartbeats are due; dueHeartbeats() is then to be called.
     [[nodiscard]] bool heartbeatsDue() const { return m_clock.now() >= m_nextHeartbeat; }
     /// The heartbeats to \p targets, without what they tell.
     std::vector<PeerSend> dueHeartbeats(const std::vector<HeartbeatTarget> &targets);
-    /// What takeHostList() of a peer reads, for this host.
+    /// What handleHostList() of a peer reads, for this host.
     [[nodiscard]] std::string ownDeclaration() const;
     /// Whether \p declaration says of this host what ownDeclaration() would, but for which
     /// start of it declared it.
-    [[nodiscard]] bool isDeclaredBy(const std::string &declaration) const;
+    [[nodiscard]] bool matchesDeclaration(const std::string &declaration) const;
     /// Where this daemon listens for peers.
     void setAddress(const std::string &address) { m_address = address; }
     /// The capacity of this host, in cores of a processor.
@@ -115,29 +118,30 @@
     }
     /// The hosts that stay and were heard of within \p silence, this one among them where
     /// it stays. \param dataCentre only those that stand there; empty for all.
-    [[nodiscard]] std::vector<std::string> heardWithin(Duration silence,
-                                                       const std::string &dataCentre) const;
+    [[nodiscard]] std::vector<std::string> seenWithin(Duration silence,
+                                                      const std::string &dataCentre) const;
     /// The same, but while this daemon, just started among many, has had no relay's list yet:
     /// all that stay or are declared and not heard of. Hundreds that start together then
     /// choose the same hosts for what one does for all; who is not there falls silent soon.
-    [[nodiscard]] std::vector<std::string> likelyWithin(Duration silence,
-                                                        const std::string &dataCentre) const;
+    [[nodiscard]] std::vector<std::string> likelyLiveWithin(Duration silence,
+                                                            const std::string &dataCentre) const;
     /// Of \p hosts those that have at least half of the capacity of the largest: what is
     /// done for many others is done there.
-    [[nodiscard]] std::vector<std::string> ableHosts(const std::vector<std::string> &hosts) const;
+    [[nodiscard]] std::vector<std::string>
+    highCapacityHosts(const std::vector<std::string> &hosts) const;
     /// \p hosts in the order in which they are chosen for \p purpose, which few do for many:
     /// able ones first, then by a hash of both, the same at every daemon.
     [[nodiscard]] std::vector<std::string> ranked(std::vector<std::string> hosts,
                                                   const std::string &purpose) const;
     /// How many hosts were heard of lately, this one among them; rises at once, falls late.
-    [[nodiscard]] int countedHosts() const;
+    [[nodiscard]] int recentHostCount() const;
     /// What this daemon knows of live hosts, itself among them.
     /// \param dataCentre only those that stand there; empty for all.
     [[nodiscard]] std::vector<HostReport> hostReports(const std::string &dataCentre) const;
     /// Whether \p host was heard of within \p silence, or is reported to live.
-    [[nodiscard]] bool heardWithin(const std::string &host, Duration silence) const;
+    [[nodiscard]] bool seenWithin(const std::string &host, Duration silence) const;
     /// The same of \p peer.
-    [[nodiscard]] bool heardWithin(const PeerHost &peer, Duration silence) const;
+    [[nodiscard]] bool seenWithin(const PeerHost &peer, Duration silence) const;
     /// Whether \p host stands in the own data centre.
     [[nodiscard]] bool isLocal(const std::string &host) const;
     /// The live hosts other than this one, sorted.
@@ -166,7 +170,7 @@
     void makeHeartbeatEarly();
     [[nodiscard]] TimePoint liveUntil(const PeerHost &peer) const;
     [[nodiscard]] Duration livenessOf(const PeerHost &peer) const;
-    [[nodiscard]] bool isAble(double capacity) const;
+    [[nodiscard]] bool hasHighCapacity(double capacity) const;
     [[nodiscard]] bool isAcquainted() const;
     template <typename Condition>
     [[nodiscard]] std::vector<std::string> hostsThat(const Condition &stays,
@@ -187,13 +191,13 @@
     TimePoint m_nextHeartbeat;
     std::map<std::string, PeerHost> m_peers;
     mutable Lists m_lists;
-    mutable std::uint32_t m_pace = 1;
+    mutable std::uint32_t m_heartbeatMultiplier = 1;
     mutable double m_largestCapacity = 0; ///< Of the live hosts of the own data centre.
 };
 
 /// The host of \p hosts that normally writes \p bucket, by rendezvous hashing:
 /// when a host comes or goes, only its own buckets move.
-[[nodiscard]] std::string softOwner(std::size_t bucket, const std::vector<std::string> &hosts);
+[[nodiscard]] std::string preferredOwner(std::size_t bucket, const std::vector<std::string> &hosts);
 
 } // namespace harelink
 
--- a/include/harelink/Kernel/peerdemand.h
+++ b/include/harelink/Kernel/peerdemand.h
@@ -37,16 +37,16 @@
     }
 
     /// Takes in what \p host told; it replaces what that host told before.
-    void take(const std::string &host, const std::vector<UsageReport> &reports);
+    void update(const std::string &host, const std::vector<UsageReport> &reports);
     /// The same for what a relay told, which comes less often.
-    void takeSummary(const std::string &host, const std::vector<UsageReport> &reports);
+    void updateFromSummary(const std::string &host, const std::vector<UsageReport> &reports);
     /// The sums that have changed since the last call; looks not too often.
     [[nodiscard]] std::vector<DemandTotal> changes();
 
 private:
     using Key = std::pair<std::string, std::string>; // Account and pool.
 
-    static PeerTotals<Key>::Figures callsOf(const std::vector<UsageReport> &reports);
+    static PeerTotals<Key>::Values callsOf(const std::vector<UsageReport> &reports);
 
     PeerTotals<Key> m_totals;
 };
--- a/include/harelink/Kernel/peerrelay.h
+++ b/include/harelink/Kernel/peerrelay.h
@@ -33,8 +33,8 @@
 {
 public:
     /// \param clock and \p membership outlive this.
-    /// \param mostMeshPeers with more peers heartbeats go through relays.
-    PeerRelay(const Clock &clock, const Membership &membership, std::size_t mostMeshPeers);
+    /// \param maxMeshPeers with more peers heartbeats go through relays.
+    PeerRelay(const Clock &clock, const Membership &membership, std::size_t maxMeshPeers);
 
     /// Whether so many peers are known that heartbeats go through relays.
     [[nodiscard]] bool isRelayed() const;
@@ -42,16 +42,16 @@
     [[nodiscard]] std::vector<HeartbeatTarget> targets();
     /// Whether what a daemon of \p dataCentre tells in a heartbeat is not in any summary
     /// that this daemon counts.
-    [[nodiscard]] bool countsHeartbeatOf(const std::string &dataCentre) const;
+    [[nodiscard]] bool usesHeartbeatsFrom(const std::string &dataCentre) const;
     /// Whether this daemon counts the figures of a summary that came from \p dataCentre.
-    [[nodiscard]] bool countsSummaryOf(const std::string &dataCentre) const;
+    [[nodiscard]] bool usesSummariesFrom(const std::string &dataCentre) const;
     /// Takes in what a daemon told.
-    void take(const std::string &host, const Heartbeat &heartbeat);
+    void handle(const std::string &host, const Heartbeat &heartbeat);
     /// Takes in what a relay of another data centre told.
-    void take(const std::string &dataCentre, const PeerSummary &summary);
+    void handle(const std::string &dataCentre, const PeerSummary &summary);
     /// Takes in that \p host sent a list of live hosts of \p dataCentre, of all where that is
     /// empty, whose hash is \p hash.
-    void noteHostList(const std::string &host, const std::string &dataCentre, std::uint64_t hash);
+    void recordHostList(const std::string &host, const std::string &dataCentre, std::uint64_t hash);
     /// Takes in that \p host tells of a list with \p hash; whether it is the one that it sent
     /// last, and holds still.
     bool renewHostList(const std::string &host, std::uint64_t hash);
@@ -82,12 +82,12 @@
     struct Subscriber
     {
         TimePoint askedAt;
-        std::uint64_t hostsKnown = 0; ///< As in Heartbeat.
+        std::uint64_t knownHostsHash = 0; ///< As in Heartbeat.
     };
     /// A list of hosts that was taken.
     struct HostList
     {
-        std::string dataCentre; ///< As in noteHostList().
+        std::string dataCentre; ///< As in recordHostList().
         std::uint64_t hash = 0;
         TimePoint until; ///< Later its hosts do not count as reported any more.
     };
@@ -101,7 +101,7 @@
     void introduce(std::vector<HeartbeatTarget> &targets);
     void forgetOld();
     [[nodiscard]] PeerSummary sum(const Told &own, const std::string &without, bool isLocal,
-                                  bool isWhole) const;
+                                  bool hasUsage) const;
     [[nodiscard]] bool isSummaryDue(const std::string &host, bool isUrgent) const;
     [[nodiscard]] Duration tellingLife() const;
     void add(const Told &told, Told &total) const;
@@ -111,7 +111,7 @@
 
     const Clock &m_clock;
     const Membership &m_membership;
-    std::size_t m_mostMeshPeers;
+    std::size_t m_maxMeshPeers;
     bool m_isRelay = false;
     std::uint32_t m_farewells = 0; ///< Heartbeats to everybody that this host leaves.
     std::uint32_t m_introductions = 0;
--- a/include/harelink/Kernel/peers.h
+++ b/include/harelink/Kernel/peers.h
@@ -56,7 +56,7 @@
     std::uint64_t configSummary = 0;           ///< As in ConfigDigest.
     bool watches = false;                      ///< As in ConfigDigest.
     /// Of the list of hosts that the sender last had of the receiver; 0 for none.
-    std::uint64_t hostsKnown = 0;
+    std::uint64_t knownHostsHash = 0;
 };
 
 /// What a relay knows of one live host.
@@ -79,10 +79,10 @@
     std::vector<EndpointLimitReport> limits; ///< As in Heartbeat.
     std::vector<std::string> leavingEndpoints;
     bool leavingKnown = false;
-    bool isWhole = false;            ///< The usage is there, and complete.
+    bool hasUsage = false;           ///< The usage is there, and complete.
     std::vector<UsageReport> usage;  ///< Time: spent since the last whole summary.
     std::uint64_t configSummary = 0; ///< As in ConfigDigest.
-    bool watched = false;            ///< A daemon of the sender's data centre watches the platform.
+    bool hasWatcher = false;         ///< A daemon of the sender's data centre watches the platform.
     /// A hash over the live hosts that the sender tells of. The list itself, some 55 bytes a
     /// host, is there only where the receiver had another one: with 300 hosts it was 94 of
     /// 100 bytes that daemons sent each other.
--- a/include/harelink/Kernel/peertotals.h
+++ b/include/harelink/Kernel/peertotals.h
@@ -24,7 +24,7 @@
 class PeerTotals
 {
 public:
-    using Figures = std::map<Key, std::int64_t>;
+    using Values = std::map<Key, std::int64_t>;
 
     /// \param clock outlives this.
     explicit PeerTotals(const Clock &clock)
@@ -35,7 +35,7 @@
     /// Takes in what \p host told; it replaces what that host told before.
     ///
     /// \param life how long it counts: four heartbeats, or more where it comes less often.
-    void take(const std::string &host, Figures figures, Duration life = tellingLife)
+    void update(const std::string &host, Values figures, Duration life = tellingLife)
     {
         std::erase_if(figures, [](const auto &figure) { return figure.second == 0; });
         m_hosts[host] = {m_clock.now() + life, std::move(figures)};
@@ -51,7 +51,7 @@
         }
         m_nextLook = now + lookInterval;
         std::erase_if(m_hosts, [now](const auto &entry) { return now > entry.second.until; });
-        Figures totals;
+        Values totals;
         for (const auto &[host, told] : m_hosts) {
             for (const auto &[key, figure] : told.figures) {
                 totals[key] += figure;
@@ -80,13 +80,13 @@
     struct Told
     {
         TimePoint until;
-        Figures figures;
+        Values figures;
     };
 
     const Clock &m_clock;
     TimePoint m_nextLook = TimePoint::min();
     std::map<std::string, Told> m_hosts;
-    Figures m_totals; // As given out; without zeros.
+    Values m_totals; // As given out; without zeros.
 };
 
 } // namespace harelink
--- a/lib/Adapters/peercodec.cpp
+++ b/lib/Adapters/peercodec.cpp
@@ -158,15 +158,15 @@
         to.set_wants_summary(from.wantsSummary);
         to.set_config_summary(from.configSummary);
         to.set_watches(from.watches);
-        to.set_hosts_known(from.hostsKnown);
+        to.set_hosts_known(from.knownHostsHash);
         writeFigures(from, to);
     }
     void operator()(const PeerSummary &from) const
     {
         wire::PeerSummary &to = *m_message.mutable_peer_summary();
-        to.set_is_whole(from.isWhole);
+        to.set_is_whole(from.hasUsage);
         to.set_config_summary(from.configSummary);
-        to.set_watched(from.watched);
+        to.set_watched(from.hasWatcher);
         to.set_hosts_hash(from.hostsHash);
         to.set_has_hosts(from.hasHosts);
         writeFigures(from, to);
@@ -318,7 +318,7 @@
     to.wantsSummary = from.wants_summary();
     to.configSummary = from.config_summary();
     to.watches = from.watches();
-    to.hostsKnown = from.hosts_known();
+    to.knownHostsHash = from.hosts_known();
     readFigures(from, to);
     return to;
 }
@@ -326,9 +326,9 @@
 PeerSummary read(const wire::PeerSummary &from)
 {
     PeerSummary to;
-    to.isWhole = from.is_whole();
+    to.hasUsage = from.is_whole();
     to.configSummary = from.config_summary();
-    to.watched = from.watched();
+    to.hasWatcher = from.watched();
     to.hostsHash = from.hosts_hash();
     to.hasHosts = from.has_hosts();
     readFigures(from, to);
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -41,7 +41,7 @@
     options.objects = &dialect.platform().objects();
     options.watchersPerDataCentre = static_cast<std::size_t>(settings.watchers);
     options.hostKind = dialect.platform().hostKind();
-    options.quarantineLength = settings.quarantineLength;
+    options.quarantineDuration = settings.quarantineLength;
     return options;
 }
 
@@ -244,7 +244,7 @@
 void Control::noteReplaced(const std::string &endpoint)
 {
     logger.record(LogLevel::Warning, "endpoint-replaced").field("endpoint", endpoint);
-    m_machine.endpointLeaving(endpoint);
+    m_machine.handleEndpointLeaving(endpoint);
 }
 
 void Control::noticed(const EndpointNoticed &event)
@@ -272,7 +272,7 @@
         ++m_notices.departures;
         logger.record(LogLevel::Info, "endpoint-announced-departure")
             .field("endpoint", event.endpoint);
-        m_machine.endpointLeaving(event.endpoint);
+        m_machine.handleEndpointLeaving(event.endpoint);
     }
     if (!notice.isLimitUnreadable) {
         m_machine.handle(
@@ -361,12 +361,12 @@
         m_machine.handle(*message);
     }
     if (m_machine.heartbeatsDue()) {
-        m_machine.noteUsage(takeOwnUsage());
-        m_machine.noteBacklogs(m_pieceBatcher.backlogs(m_snapshot.current()));
-        m_machine.notePrompts(ownPrompts());
+        m_machine.recordUsage(takeOwnUsage());
+        m_machine.recordBacklogs(m_pieceBatcher.backlogs(m_snapshot.current()));
+        m_machine.recordPrompts(ownPrompts());
         takePeerChanges();
         applyLimits(m_snapshot.current());
-        m_daemons.store(m_machine.membership().countedHosts(), std::memory_order_relaxed);
+        m_daemons.store(m_machine.membership().recentHostCount(), std::memory_order_relaxed);
     }
     m_machine.tick();
     recordEndpointUpdates();
@@ -483,7 +483,7 @@
     const auto done = [this, &dialect, call, sentAt](const HttpResult &result) {
         const PieceCallEnded ended = dialect.decode(call, result);
         if (result.isBroken) {
-            m_machine.pieceCallBroken(call, sentAt);
+            m_machine.handleBrokenPieceCall(call, sentAt);
         }
         if (!ended.answered) {
             logger.record(LogLevel::Warning, "piece-call-failed")
@@ -746,7 +746,7 @@
         counter("harelink_claim_conflicts_total", claims.conflicts);
         counter("harelink_claim_silences_total", claims.silences);
         counter("harelink_claim_detours_total", m_machine.claimDetours());
-        counter("harelink_config_dropped_news_total", m_machine.config().droppedNews());
+        counter("harelink_config_dropped_news_total", m_machine.config().droppedUpdates());
         counter("harelink_config_unreadable_objects_total",
                 m_machine.config().unreadableObjects() + m_unreadableEntries);
         counter("harelink_peer_messages_sent_total", m_peers.counters().sent);
--- a/lib/Kernel/membership.cpp
+++ b/lib/Kernel/membership.cpp
@@ -41,7 +41,7 @@
 constexpr double leastCapacity = 0.001;
 constexpr double mostCapacity = 100'000;
 
-/// Membership::pace() of a data centre with so many hosts.
+/// Membership::heartbeatMultiplier() of a data centre with so many hosts.
 std::uint32_t paceAmong(std::size_t hosts)
 {
     if (hosts >= leastSlowHosts) {
@@ -93,7 +93,7 @@
 {
 }
 
-void Membership::takeHostList(const std::vector<PlatformObject> &hosts)
+void Membership::handleHostList(const std::vector<PlatformObject> &hosts)
 {
     const bool isAlone = std::none_of(m_peers.begin(), m_peers.end(),
                                       [this](const auto &entry) { return isLive(entry.second); });
@@ -109,7 +109,7 @@
         peer.dataCentre = std::move(declaration->dataCentre);
         peer.capacity = declaration->capacity;
         if (peer.incarnation == 0) {
-            peer.lastHeard = TimePoint::min();
+            peer.lastSeen = TimePoint::min();
         }
     }
     if (isAlone && !listed.empty()) {
@@ -130,7 +130,7 @@
     return value.dump();
 }
 
-bool Membership::isDeclaredBy(const std::string &declaration) const
+bool Membership::matchesDeclaration(const std::string &declaration) const
 {
     const std::optional<HostDeclaration> stands = readDeclaration(declaration);
     const std::optional<HostDeclaration> own = readDeclaration(ownDeclaration());
@@ -138,7 +138,7 @@
            && stands->capacity == own->capacity;
 }
 
-void Membership::heard(const PeerMessage &message)
+void Membership::recordMessage(const PeerMessage &message)
 {
     if (message.host == m_host || message.host.empty()) {
         return;
@@ -154,7 +154,7 @@
         forgetLists();
         makeHeartbeatEarly();
     }
-    peer.lastHeard = m_clock.now();
+    peer.lastSeen = m_clock.now();
     bool isChanged = !wasLive;
     if (const auto *heartbeat = std::get_if<Heartbeat>(&message.content)) {
         isChanged = isChanged || peer.address != heartbeat->address
@@ -172,7 +172,8 @@
     }
 }
 
-void Membership::reported(const std::vector<HostReport> &hosts, const std::string &dataCentre)
+void Membership::handleHostReports(const std::vector<HostReport> &hosts,
+                                   const std::string &dataCentre)
 {
     for (auto &[name, peer] : m_peers) {
         if (isWithin(peer.dataCentre, dataCentre)) {
@@ -185,11 +186,11 @@
         }
         PeerHost &peer = m_peers[report.host];
         if (peer.incarnation == 0) {
-            peer.lastHeard = TimePoint::min();
+            peer.lastSeen = TimePoint::min();
         }
         // What it said itself a moment ago goes before what others say of it.
-        const bool spoke = peer.incarnation != 0 && peer.lastHeard != TimePoint::min()
-                           && m_clock.now() - peer.lastHeard <= heartbeatInterval;
+        const bool spoke = peer.incarnation != 0 && peer.lastSeen != TimePoint::min()
+                           && m_clock.now() - peer.lastSeen <= heartbeatInterval;
         if (!spoke && peer.incarnation != report.incarnation) {
             peer.incarnation = report.incarnation;
             peer.leaving = false;
@@ -204,7 +205,7 @@
     forgetLists();
 }
 
-void Membership::stillReported(const std::string &dataCentre)
+void Membership::renewHostReports(const std::string &dataCentre)
 {
     for (auto &[name, peer] : m_peers) {
         if (isReported(peer) && isWithin(peer.dataCentre, dataCentre)) {
@@ -232,7 +233,8 @@
 {
     m_lastHeartbeat = m_clock.now();
     m_nextHeartbeat =
-        m_lastHeartbeat + heartbeatInterval * (isAble() ? 1 : static_cast<int>(m_pace));
+        m_lastHeartbeat
+        + heartbeatInterval * (hasHighCapacity() ? 1 : static_cast<int>(m_heartbeatMultiplier));
     std::vector<PeerSend> sends;
     for (const HeartbeatTarget &target : targets) {
         Heartbeat heartbeat;
@@ -241,7 +243,7 @@
         heartbeat.leaving = m_leaving;
         heartbeat.capacity = m_capacity;
         heartbeat.wantsSummary = target.wantsSummary;
-        heartbeat.hostsKnown = target.hostsKnown;
+        heartbeat.knownHostsHash = target.knownHostsHash;
         if (std::optional<PeerSend> send = messageTo(target.host, std::move(heartbeat))) {
             sends.push_back(*std::move(send));
         }
@@ -274,23 +276,23 @@
 bool Membership::isLive(const PeerHost &peer) const
 {
     return isReported(peer)
-           || (peer.incarnation != 0 && peer.lastHeard != TimePoint::min()
-               && m_clock.now() - peer.lastHeard <= livenessOf(peer));
+           || (peer.incarnation != 0 && peer.lastSeen != TimePoint::min()
+               && m_clock.now() - peer.lastSeen <= livenessOf(peer));
 }
 
 Duration Membership::livenessOf(const PeerHost &peer) const
 {
-    return livenessLimit * (isAble(peer) ? 1 : static_cast<int>(m_pace));
+    return livenessLimit * (hasHighCapacity(peer) ? 1 : static_cast<int>(m_heartbeatMultiplier));
 }
 
-bool Membership::isAble(double capacity) const
+bool Membership::hasHighCapacity(double capacity) const
 {
     return capacity >= m_largestCapacity * ablePart;
 }
 
 bool Membership::isReported(const PeerHost &peer) const
 {
-    return peer.reportedAt != TimePoint::min() && m_clock.now() - peer.reportedAt <= reportLife;
+    return peer.reportedAt != TimePoint::min() && m_clock.now() - peer.reportedAt <= reportTtl;
 }
 
 std::optional<std::string> Membership::hostOf(Incarnation incarnation) const
@@ -349,7 +351,7 @@
         add(m_host, m_dataCentre);
     }
     const std::size_t local = lists.localCandidates.size();
-    m_pace = paceAmong(local);
+    m_heartbeatMultiplier = paceAmong(local);
     m_largestCapacity = largest;
     m_lists = std::move(lists);
 }
@@ -361,10 +363,10 @@
     constexpr Duration next{1};
     TimePoint until = TimePoint::min();
     if (peer.reportedAt != TimePoint::min()) {
-        until = peer.reportedAt + reportLife + next;
+        until = peer.reportedAt + reportTtl + next;
     }
-    if (peer.incarnation != 0 && peer.lastHeard != TimePoint::min()) {
-        until = std::max<TimePoint>(until, peer.lastHeard + livenessOf(peer) + next);
+    if (peer.incarnation != 0 && peer.lastSeen != TimePoint::min()) {
+        until = std::max<TimePoint>(until, peer.lastSeen + livenessOf(peer) + next);
     }
     return until;
 }
@@ -386,18 +388,18 @@
     return hosts;
 }
 
-std::vector<std::string> Membership::heardWithin(Duration silence,
-                                                 const std::string &dataCentre) const
+std::vector<std::string> Membership::seenWithin(Duration silence,
+                                                const std::string &dataCentre) const
 {
-    return hostsThat([&](const PeerHost &peer) { return heardWithin(peer, silence); }, dataCentre);
+    return hostsThat([&](const PeerHost &peer) { return seenWithin(peer, silence); }, dataCentre);
 }
 
-std::vector<std::string> Membership::likelyWithin(Duration silence,
-                                                  const std::string &dataCentre) const
+std::vector<std::string> Membership::likelyLiveWithin(Duration silence,
+                                                      const std::string &dataCentre) const
 {
     const bool isAcquaintedNow = isAcquainted();
     const auto isLikely = [&](const PeerHost &peer) {
-        return heardWithin(peer, silence) || (!isAcquaintedNow && peer.incarnation == 0);
+        return seenWithin(peer, silence) || (!isAcquaintedNow && peer.incarnation == 0);
     };
     return hostsThat(isLikely, dataCentre);
 }
@@ -410,22 +412,22 @@
            || m_clock.now() - m_startedAt >= acquaintance;
 }
 
-bool Membership::heardWithin(const std::string &host, Duration silence) const
+bool Membership::seenWithin(const std::string &host, Duration silence) const
 {
     const auto found = m_peers.find(host);
-    return found != m_peers.end() && heardWithin(found->second, silence);
+    return found != m_peers.end() && seenWithin(found->second, silence);
 }
 
-bool Membership::heardWithin(const PeerHost &peer, Duration silence) const
+bool Membership::seenWithin(const PeerHost &peer, Duration silence) const
 {
     if (peer.incarnation == 0) {
         return false;
     }
     return isReported(peer)
-           || (peer.lastHeard != TimePoint::min() && m_clock.now() - peer.lastHeard <= silence);
+           || (peer.lastSeen != TimePoint::min() && m_clock.now() - peer.lastSeen <= silence);
 }
 
-std::vector<std::string> Membership::ableHosts(const std::vector<std::string> &hosts) const
+std::vector<std::string> Membership::highCapacityHosts(const std::vector<std::string> &hosts) const
 {
     std::vector<double> capacities;
     capacities.reserve(hosts.size());
@@ -446,7 +448,7 @@
 std::vector<std::string> Membership::ranked(std::vector<std::string> hosts,
                                             const std::string &purpose) const
 {
-    const std::vector<std::string> able = ableHosts(hosts);
+    const std::vector<std::string> able = highCapacityHosts(hosts);
     const std::set<std::string> first(able.begin(), able.end());
     const auto rank = [&](const std::string &host) {
         return std::pair(first.contains(host), hash64(purpose + "/" + host));
@@ -456,12 +458,12 @@
     return hosts;
 }
 
-int Membership::countedHosts() const
+int Membership::recentHostCount() const
 {
     const TimePoint now = m_clock.now();
     const auto counts = [now](const auto &entry) {
         const PeerHost &peer = entry.second;
-        const TimePoint last = std::max(peer.lastHeard, peer.reportedAt);
+        const TimePoint last = std::max(peer.lastSeen, peer.reportedAt);
         return peer.incarnation != 0 && last != TimePoint::min() && now - last <= countedLife;
     };
     return 1 + static_cast<int>(std::count_if(m_peers.begin(), m_peers.end(), counts));
@@ -503,7 +505,7 @@
     return found == m_peers.end() ? std::string() : found->second.address;
 }
 
-std::string softOwner(std::size_t bucket, const std::vector<std::string> &hosts)
+std::string preferredOwner(std::size_t bucket, const std::vector<std::string> &hosts)
 {
     std::string best;
     std::uint64_t bestScore = 0;
--- a/lib/Kernel/peerdemand.cpp
+++ b/lib/Kernel/peerdemand.cpp
@@ -10,23 +10,23 @@
 
 } // namespace
 
-auto PeerDemand::callsOf(const std::vector<UsageReport> &reports) -> PeerTotals<Key>::Figures
+auto PeerDemand::callsOf(const std::vector<UsageReport> &reports) -> PeerTotals<Key>::Values
 {
-    PeerTotals<Key>::Figures calls;
+    PeerTotals<Key>::Values calls;
     for (const UsageReport &report : reports) {
         calls[{report.account, report.pool}] += report.demand;
     }
     return calls;
 }
 
-void PeerDemand::take(const std::string &host, const std::vector<UsageReport> &reports)
+void PeerDemand::update(const std::string &host, const std::vector<UsageReport> &reports)
 {
-    m_totals.take(host, callsOf(reports));
+    m_totals.update(host, callsOf(reports));
 }
 
-void PeerDemand::takeSummary(const std::string &host, const std::vector<UsageReport> &reports)
+void PeerDemand::updateFromSummary(const std::string &host, const std::vector<UsageReport> &reports)
 {
-    m_totals.take(host, callsOf(reports), summaryLife);
+    m_totals.update(host, callsOf(reports), summaryLife);
 }
 
 std::vector<DemandTotal> PeerDemand::changes()
--- a/lib/Kernel/peerrelay.cpp
+++ b/lib/Kernel/peerrelay.cpp
@@ -26,21 +26,21 @@
 
 } // namespace
 
-PeerRelay::PeerRelay(const Clock &clock, const Membership &membership, std::size_t mostMeshPeers)
+PeerRelay::PeerRelay(const Clock &clock, const Membership &membership, std::size_t maxMeshPeers)
     : m_clock(clock)
     , m_membership(membership)
-    , m_mostMeshPeers(mostMeshPeers)
+    , m_maxMeshPeers(maxMeshPeers)
 {
 }
 
 bool PeerRelay::isRelayed() const
 {
-    return m_membership.peers().size() > m_mostMeshPeers;
+    return m_membership.peers().size() > m_maxMeshPeers;
 }
 
 Duration PeerRelay::tellingLife() const
 {
-    return fastTellingLife * static_cast<int>(m_membership.pace());
+    return fastTellingLife * static_cast<int>(m_membership.heartbeatMultiplier());
 }
 
 bool PeerRelay::isSilent(const std::string &host) const
@@ -61,7 +61,7 @@
             continue;
         }
         declared.push_back(name);
-        if (m_membership.heardWithin(peer, tellingLife())) {
+        if (m_membership.seenWithin(peer, tellingLife())) {
             live.push_back(name);
         }
     }
@@ -79,9 +79,9 @@
     std::erase_if(m_askedSince, [&](const auto &asked) {
         const auto peer = m_membership.peers().find(asked.first);
         const TimePoint heard =
-            peer == m_membership.peers().end() ? asked.second : peer->second.lastHeard;
+            peer == m_membership.peers().end() ? asked.second : peer->second.lastSeen;
         const bool silent = now - std::max(asked.second, heard)
-                            > relaySilence * static_cast<int>(m_membership.pace());
+                            > relaySilence * static_cast<int>(m_membership.heartbeatMultiplier());
         if (silent) {
             m_silentUntil[asked.first] = now + silencePause;
         }
@@ -103,15 +103,15 @@
     return holds ? list->second.hash : 0;
 }
 
-void PeerRelay::noteHostList(const std::string &host, const std::string &dataCentre,
-                             std::uint64_t hash)
+void PeerRelay::recordHostList(const std::string &host, const std::string &dataCentre,
+                               std::uint64_t hash)
 {
     // It took the place of what others said of the same hosts.
     std::erase_if(m_hostLists, [&](const auto &entry) {
         const std::string &where = entry.second.dataCentre;
         return dataCentre.empty() || where.empty() || where == dataCentre;
     });
-    m_hostLists[host] = {dataCentre, hash, m_clock.now() + Membership::reportLife};
+    m_hostLists[host] = {dataCentre, hash, m_clock.now() + Membership::reportTtl};
 }
 
 bool PeerRelay::renewHostList(const std::string &host, std::uint64_t hash)
@@ -119,7 +119,7 @@
     if (hash == 0 || hostsKnownOf(host) != hash) {
         return false;
     }
-    m_hostLists[host].until = m_clock.now() + Membership::reportLife;
+    m_hostLists[host].until = m_clock.now() + Membership::reportTtl;
     return true;
 }
 
@@ -148,14 +148,14 @@
     std::vector<std::string> unheard;
     for (const auto &[name, peer] : m_membership.peers()) {
         const bool isLocal = peer.dataCentre == m_membership.dataCentre();
-        if (isLocal && !peer.leaving && !m_membership.heardWithin(peer, tellingLife())) {
+        if (isLocal && !peer.leaving && !m_membership.seenWithin(peer, tellingLife())) {
             unheard.push_back(name);
         }
     }
     ++m_introductions;
     // Able ones are few and matter most, so every other turn is theirs.
     const std::vector<std::string> turn =
-        m_introductions % 2 == 0 ? std::move(unheard) : m_membership.ableHosts(unheard);
+        m_introductions % 2 == 0 ? std::move(unheard) : m_membership.highCapacityHosts(unheard);
     if (!turn.empty()) {
         targets.push_back({turn[m_introductions / 2 % turn.size()], true});
     }
@@ -188,8 +188,9 @@
         }
         // The second has heard of all when the first dies; until then it need not be told of
         // each small change by those that are many.
-        const bool isTold = m_isRelay || m_membership.isAble()
-                            || ++m_tellings % (wholeRound / m_membership.pace()) == 0;
+        const bool isTold =
+            m_isRelay || m_membership.hasHighCapacity()
+            || ++m_tellings % (wholeRound / m_membership.heartbeatMultiplier()) == 0;
         if (host == hosts.front()) {
             ask(host, targets);
         } else if (isTold) {
@@ -204,12 +205,12 @@
     return targets;
 }
 
-bool PeerRelay::countsHeartbeatOf(const std::string &dataCentre) const
+bool PeerRelay::usesHeartbeatsFrom(const std::string &dataCentre) const
 {
     return !isRelayed() || (m_isRelay && dataCentre == m_membership.dataCentre());
 }
 
-bool PeerRelay::countsSummaryOf(const std::string &dataCentre) const
+bool PeerRelay::usesSummariesFrom(const std::string &dataCentre) const
 {
     return isRelayed() && m_isRelay == (dataCentre != m_membership.dataCentre());
 }
@@ -239,10 +240,10 @@
     }
 }
 
-void PeerRelay::take(const std::string &host, const Heartbeat &heartbeat)
+void PeerRelay::handle(const std::string &host, const Heartbeat &heartbeat)
 {
     if (heartbeat.wantsSummary) {
-        m_subscribers[host] = {m_clock.now(), heartbeat.hostsKnown};
+        m_subscribers[host] = {m_clock.now(), heartbeat.knownHostsHash};
     }
     // A relay of another data centre tells its own figures in its summaries.
     if (heartbeat.dataCentre == m_membership.dataCentre()) {
@@ -252,14 +253,14 @@
     }
 }
 
-void PeerRelay::take(const std::string &dataCentre, const PeerSummary &summary)
+void PeerRelay::handle(const std::string &dataCentre, const PeerSummary &summary)
 {
     if (dataCentre == m_membership.dataCentre()) {
         return;
     }
     Told &told = m_elsewhere[dataCentre];
     update(told, summary.prompts, summary.backlogs, m_clock.now());
-    if (summary.isWhole) {
+    if (summary.hasUsage) {
         update(told, summary.usage);
     }
 }
@@ -280,9 +281,10 @@
 bool PeerRelay::isSummaryDue(const std::string &host, bool isUrgent) const
 {
     const auto peer = m_membership.peers().find(host);
-    const bool isFast = peer == m_membership.peers().end() || m_membership.isAble(peer->second)
+    const bool isFast = peer == m_membership.peers().end()
+                        || m_membership.hasHighCapacity(peer->second)
                         || !m_membership.isLocal(host);
-    return isUrgent || isFast || m_round % m_membership.pace() == 0;
+    return isUrgent || isFast || m_round % m_membership.heartbeatMultiplier() == 0;
 }
 
 void PeerRelay::add(const Told &told, Told &total) const
@@ -303,7 +305,7 @@
 }
 
 PeerSummary PeerRelay::sum(const Told &own, const std::string &without, bool isLocal,
-                           bool isWhole) const
+                           bool hasUsage) const
 {
     Told total;
     add(own, total);
@@ -322,8 +324,8 @@
     for (const auto &[endpoint, tokens] : total.prompts) {
         summary.prompts.push_back({endpoint, tokens});
     }
-    summary.isWhole = isWhole;
-    if (isWhole) {
+    summary.hasUsage = hasUsage;
+    if (hasUsage) {
         for (const auto &[key, use] : total.usage) {
             if (use.time != Duration{} || use.demand > 0) {
                 summary.usage.push_back({key.first, key.second, use.time, use.demand});
@@ -342,28 +344,28 @@
     if (m_subscribers.empty()) {
         return sends;
     }
-    const bool isWhole = ++m_round % wholeRound == 0;
+    const bool hasUsage = ++m_round % wholeRound == 0;
     // One that begins to leave is another one.
     const std::uint64_t hashOfAll = m_membership.hostsHash({});
     const bool hostsChanged = std::exchange(m_hostsBefore, hashOfAll) != hashOfAll;
-    const bool isUrgent = hostsChanged || isWhole;
+    const bool isUrgent = hostsChanged || hasUsage;
     const std::uint64_t hashOfLocal = m_membership.hostsHash(m_membership.dataCentre());
     for (auto &[host, subscriber] : m_subscribers) {
         if (!isSummaryDue(host, isUrgent)) {
             continue;
         }
         const bool isLocal = m_membership.isLocal(host);
-        PeerSummary summary = sum(m_own, host, isLocal, isWhole);
+        PeerSummary summary = sum(m_own, host, isLocal, hasUsage);
         summary.leavingEndpoints = own.leavingEndpoints;
         summary.leavingKnown = own.leavingKnown;
         summary.limits = own.limits;
         summary.configSummary = own.configSummary;
-        summary.watched = own.watches;
+        summary.hasWatcher = own.watches;
         summary.hostsHash = isLocal ? hashOfAll : hashOfLocal;
-        summary.hasHosts = subscriber.hostsKnown != summary.hostsHash;
+        summary.hasHosts = subscriber.knownHostsHash != summary.hostsHash;
         if (summary.hasHosts) {
             // Until it tells otherwise, or the list would go out again before it can.
-            subscriber.hostsKnown = summary.hostsHash;
+            subscriber.knownHostsHash = summary.hostsHash;
             summary.hosts =
                 m_membership.hostReports(isLocal ? std::string() : m_membership.dataCentre());
         }
@@ -371,7 +373,7 @@
             sends.push_back(*std::move(send));
         }
     }
-    if (isWhole) {
+    if (hasUsage) {
         m_own.usage.clear();
         for (ToldBySource *sources : {&m_local, &m_elsewhere}) {
             for (auto &[source, told] : *sources) {
--- a/lib/Kernel/piecerouter.cpp
+++ b/lib/Kernel/piecerouter.cpp
@@ -124,12 +124,12 @@
     const PoolEntry *entry = snapshot.poolOrPart(part);
     std::vector<std::string> hosts;
     if (entry != nullptr && !entry->dataCentre.empty()) {
-        hosts = m_membership.likelyWithin(batcherSilence, entry->dataCentre);
+        hosts = m_membership.likelyLiveWithin(batcherSilence, entry->dataCentre);
     }
     if (hosts.empty()) {
-        hosts = m_membership.likelyWithin(batcherSilence, {});
+        hosts = m_membership.likelyLiveWithin(batcherSilence, {});
     }
-    for (const std::string &host : m_membership.ableHosts(hosts)) {
+    for (const std::string &host : m_membership.highCapacityHosts(hosts)) {
         const std::uint64_t score = hash64(fmt::format("pieces/{}/{}", part, host));
         if (score >= bestScore) {
             best = host;
@@ -223,7 +223,7 @@
     const bool isQuarantined =
         snapshot.quarantineLeft(pending.order.digest, m_clock.wallNow()) > Duration::zero();
     return !isQuarantined && pending.attempts < mostAttempts && now < pending.due
-           && budgetOf(pending.pool).allows(now, m_membership.countedHosts());
+           && budgetOf(pending.pool).allows(now, m_membership.recentHostCount());
 }
 
 void PieceRouter::reorder(const PieceId &id, PieceFault fault, const Snapshot &snapshot)
@@ -263,7 +263,7 @@
     for (const auto &[id, pending] : m_pending) {
         const bool silent = pending.batcher != m_membership.host()
                             && now - pending.orderedAt > batcherSilence
-                            && !m_membership.heardWithin(pending.batcher, batcherSilence);
+                            && !m_membership.seenWithin(pending.batcher, batcherSilence);
         if (now >= pending.checkAt || now >= pending.due || silent) {
             overdue.push_back(id);
         }
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -46,7 +46,7 @@
         , m_platform(m_queue, m_random)
         , m_checks(m_queue, m_trace)
         , m_dataCentres(dataCentres)
-        , m_mostMeshPeers(seed % 2 == 0 ? 0 : ControlOptions{}.mostMeshPeers)
+        , m_maxMeshPeers(seed % 2 == 0 ? 0 : ControlOptions{}.maxMeshPeers)
     {
         declareResources();
         for (int i = 0; i < hosts; ++i) {
@@ -122,7 +122,7 @@
         options.peerAddress = name;
         options.dataCentre = host.dataCentre;
         options.incarnation = host.incarnation;
-        options.mostMeshPeers = m_mostMeshPeers;
+        options.maxMeshPeers = m_maxMeshPeers;
         host.clock = std::make_unique<HostClock>(m_queue.clock());
         host.control = std::make_unique<BasicControlMachine<G>>(*host.clock, options);
         host.requests = std::make_unique<BasicRequestMachine<G>>(
@@ -583,7 +583,7 @@
             m_checks.toldOfLimit(action.endpoint, host.incarnation);
         }
         if (action.notice.isLeaving) {
-            host.control->endpointLeaving(action.endpoint);
+            host.control->handleEndpointLeaving(action.endpoint);
             m_checks.toldOfLeaving(action.endpoint, host.incarnation);
         }
         m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
@@ -926,7 +926,7 @@
     Checks m_checks;
     Cuts m_cuts;
     WorldFaults m_faults;
-    std::size_t m_mostMeshPeers; ///< With every other seed, heartbeats go through relays.
+    std::size_t m_maxMeshPeers; ///< With every other seed, heartbeats go through relays.
     int m_dataCentres;
     std::int64_t m_timesCold = 0; ///< Endpoints that have turned cold so far.
     std::map<std::string, Host> m_hosts;
--- a/unittests/Kernel/configgossiptest.cpp
+++ b/unittests/Kernel/configgossiptest.cpp
@@ -33,8 +33,8 @@
         for (const auto &host : m_hosts) {
             // As long before as the first object of all.
             (void)host->table.apply({"Pool", "first", 1, false, "{}"});
-            (void)host->table.takeNews();
-            host->gossip.noteConnected(true);
+            (void)host->table.takeUpdates();
+            host->gossip.setConnected(true);
         }
         run(milliseconds(1500));
     }
@@ -45,7 +45,7 @@
         for (const auto &host : m_hosts) {
             if (host->gossip.shouldWatch() && !cut.contains(host->name)) {
                 (void)host->table.apply({"Pool", "first", version, false, "{}"});
-                host->gossip.pushNews();
+                host->gossip.pushUpdates();
             }
         }
     }
@@ -106,7 +106,7 @@
             heartbeat.dataCentre = "dc1";
             heartbeat.address = from->name + ":1";
             for (const auto &to : m_hosts) {
-                to->membership.heard({from->name, 1, heartbeat});
+                to->membership.recordMessage({from->name, 1, heartbeat});
             }
         }
     }
--- a/unittests/Kernel/configtabletest.cpp
+++ b/unittests/Kernel/configtabletest.cpp
@@ -43,7 +43,7 @@
     CHECK(table.apply(account(5, 2)));
     CHECK_FALSE(table.apply(account(4, 9)));
     DOUBLES_EQUAL(2, weightIn(table), 0);
-    CHECK_EQUAL(1u, table.droppedNews());
+    CHECK_EQUAL(1u, table.droppedUpdates());
 }
 
 TEST(ConfigTable, ControlWithoutHighWaterRevertsToOlderNews)
--- a/unittests/Kernel/configwatchertest.cpp
+++ b/unittests/Kernel/configwatchertest.cpp
@@ -97,7 +97,7 @@
     // One declares itself anew; the other is taken to be gone.
     bench.answer(PlatformOutcome::Ok, {Bench::object("i-2", 11)}, 11);
     bench.clock.advance(milliseconds(300));
-    CHECK(bench.watcher.applyHeld());
+    CHECK(bench.watcher.applyDelayedDeletions());
     LONGS_EQUAL(1, bench.endpoints());
     CHECK(bench.table.endpoint("i-2")->resources.size() == 1);
 }
@@ -112,9 +112,9 @@
     bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 9, true)}, 9);
     LONGS_EQUAL(1, bench.endpoints());
     bench.clock.advance(milliseconds(2200));
-    CHECK_FALSE(bench.watcher.applyHeld());
+    CHECK_FALSE(bench.watcher.applyDelayedDeletions());
     bench.clock.advance(milliseconds(200));
-    CHECK(bench.watcher.applyHeld());
+    CHECK(bench.watcher.applyDelayedDeletions());
     LONGS_EQUAL(0, bench.endpoints());
 }
 
@@ -122,7 +122,7 @@
 {
     Bench bench;
     bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5)}, 7);
-    bench.watcher.notePlatform(false);
+    bench.watcher.recordPlatformAnswer(false);
     bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 9, true)}, 9);
     LONGS_EQUAL(1, bench.endpoints());
 }
--- a/unittests/Kernel/fleetfixture.h
+++ b/unittests/Kernel/fleetfixture.h
@@ -77,7 +77,7 @@
         int dataCentres = 5;
         int able = 3; ///< Of each data centre, with four times the others' capacity.
         int endpoints = 0;
-        std::size_t mostMeshPeers = ControlOptions{}.mostMeshPeers;
+        std::size_t maxMeshPeers = ControlOptions{}.maxMeshPeers;
         std::size_t watchers = 6;
     };
 
@@ -92,7 +92,7 @@
             options.incarnation = 100 + static_cast<Incarnation>(i);
             options.keepsClaims = false;
             options.capacity = i < layout.able * layout.dataCentres ? 0.5 : 0.12;
-            options.mostMeshPeers = layout.mostMeshPeers;
+            options.maxMeshPeers = layout.maxMeshPeers;
             options.watchersPerDataCentre = layout.watchers;
             options.hostKind = hostKind;
             m_options[options.host] = options;
@@ -274,7 +274,7 @@
         if constexpr (std::same_as<Content, Heartbeat>) {
             return "heartbeat";
         } else if constexpr (std::same_as<Content, PeerSummary>) {
-            return content.isWhole ? "summary, whole" : "summary";
+            return content.hasUsage ? "summary, whole" : "summary";
         } else if constexpr (std::same_as<Content, ConfigPush>) {
             return "push";
         } else if constexpr (std::same_as<Content, CrashReports>) {
--- a/unittests/Kernel/fleettest.cpp
+++ b/unittests/Kernel/fleettest.cpp
@@ -123,7 +123,7 @@
     // Three times the hosts, two thirds of their messages each.
     CHECK(many.mostMessages < few.mostMessages * 5 / 2);
     // The control: all tell all.
-    ControlFleet mesh({.hosts = fewHosts, .endpoints = 100, .mostMeshPeers = 1000});
+    ControlFleet mesh({.hosts = fewHosts, .endpoints = 100, .maxMeshPeers = 1000});
     mesh.startAll();
     mesh.run(seconds(3));
     CHECK(settledSecond(mesh).messagesOfMany > few.messagesOfMany * 20);
--- a/unittests/Kernel/peerrelaytest.cpp
+++ b/unittests/Kernel/peerrelaytest.cpp
@@ -30,7 +30,7 @@
 {
 public:
     /// \param able hosts of each data centre have four times the others' capacity.
-    Fleet(int hosts, std::size_t mostMeshPeers, int able = 2)
+    Fleet(int hosts, std::size_t maxMeshPeers, int able = 2)
     {
         for (int i = 0; i < hosts; ++i) {
             ControlOptions options;
@@ -40,7 +40,7 @@
             options.incarnation = 100 + static_cast<Incarnation>(i);
             options.keepsClaims = false;
             options.capacity = i < able * dataCentreCount ? 0.5 : 0.12;
-            options.mostMeshPeers = mostMeshPeers;
+            options.maxMeshPeers = maxMeshPeers;
             m_options[options.host] = options;
             start(options.host);
         }
@@ -119,7 +119,7 @@
     void turn(const std::string &name, ControlMachine &host)
     {
         if (host.heartbeatsDue()) {
-            host.notePrompts({{"engine", m_tokens[name]}});
+            host.recordPrompts({{"engine", m_tokens[name]}});
         }
         host.tick();
         ControlOutput output = host.takeOutput();
@@ -180,9 +180,9 @@
 }
 
 /// Messages of all of \p hosts daemons in one settled second.
-int messagesASecond(int hosts, std::size_t mostMeshPeers)
+int messagesASecond(int hosts, std::size_t maxMeshPeers)
 {
-    Fleet fleet(hosts, mostMeshPeers);
+    Fleet fleet(hosts, maxMeshPeers);
     fleet.run(spreadTime);
     (void)fleet.takeSent();
     fleet.run(std::chrono::seconds(1));
--- a/unittests/Kernel/pieceroutertest.cpp
+++ b/unittests/Kernel/pieceroutertest.cpp
@@ -27,7 +27,7 @@
         heartbeat.dataCentre = "dc1";
         heartbeat.address = "127.0.0.1:2";
         message.content = heartbeat;
-        membership.heard(message);
+        membership.recordMessage(message);
     }
     void collect()
     {
@@ -130,7 +130,7 @@
     Heartbeat heartbeat;
     heartbeat.address = "127.0.0.1:1";
     message.content = heartbeat;
-    membership.heard(message);
+    membership.recordMessage(message);
     PieceRouter router(clock, membership, {});
     router.order("pieces", {pieceOrder(2)}, *bench.snapshot);
     CHECK(router.takeOrders()[0].host == bench.orders[0].host);
@@ -169,7 +169,7 @@
                                          capacity)});
         }
         membership.setCapacity(0.12);
-        membership.takeHostList(hosts);
+        membership.handleHostList(hosts);
     }
 };
 
@@ -201,7 +201,7 @@
             live.push_back({name, "dc1", peer.address, 7, false, peer.capacity});
         }
     }
-    bench.membership.reported(live, {});
+    bench.membership.handleHostReports(live, {});
     bench.order(2);
     CHECK(bench.orders.back().host != declared);
     CHECK(bench.orders.back().host.ends_with("0"));
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -191,7 +191,7 @@
         order.digest = hash128(i < 2 ? "of h3" : "own");
         call.orders.push_back(order);
     }
-    bench.machine.pieceCallBroken(call, bench.clock.now());
+    bench.machine.handleBrokenPieceCall(call, bench.clock.now());
     std::size_t ofHost3 = 0;
     bool isTold = false;
     for (const PeerSend &send : bench.reportsOfEnd()) {
--- a/unittests/Kernel/slotsharestest.cpp
+++ b/unittests/Kernel/slotsharestest.cpp
@@ -161,9 +161,9 @@
 {
     ManualClock clock;
     PeerDemand demand(clock);
-    demand.take("h2", {{"drivers", "engines", {}, 3}});
+    demand.update("h2", {{"drivers", "engines", {}, 3}});
     clock.advance(milliseconds(800));
-    demand.take("h3", {{"drivers", "engines", {}, 4}});
+    demand.update("h3", {{"drivers", "engines", {}, 4}});
     const auto first = demand.changes();
     CHECK_EQUAL(1u, first.size());
     CHECK_EQUAL(7, first[0].calls);
@@ -183,9 +183,9 @@
 {
     ManualClock clock;
     PeerDemand demand(clock);
-    demand.take("h2", {{"drivers", "engines", {}, 3}});
+    demand.update("h2", {{"drivers", "engines", {}, 3}});
     CHECK_EQUAL(1u, demand.changes().size());
-    demand.take("h2", {});
+    demand.update("h2", {});
     clock.advance(milliseconds(100));
     const auto ended = demand.changes();
     CHECK_EQUAL(1u, ended.size());
--- a/unittests/Platform/foreignentriestest.cpp
+++ b/unittests/Platform/foreignentriestest.cpp
@@ -182,9 +182,9 @@
                 {"peers", "10.0.0.3:7000"}, {"dataCentre", "dc1"}, {"capacity", 0.5}};
             const std::string good = host.dump();
             host[field] = nlohmann::json::parse(value);
-            membership.takeHostList({{"hosts", "h2", 1, false, host.dump()},
-                                     {"hosts", "h3", 1, false, good},
-                                     {"hosts", "h4", 1, false, value}});
+            membership.handleHostList({{"hosts", "h2", 1, false, host.dump()},
+                                       {"hosts", "h3", 1, false, good},
+                                       {"hosts", "h4", 1, false, value}});
             const std::string text = fmt::format("{} {}", field, value);
             CHECK_TEXT(membership.peers().contains("h3"), text.c_str());
             CHECK_FALSE_TEXT(membership.peers().contains("h4"), text.c_str());
