--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -213,7 +213,7 @@
         }
         BrokenCall broken;
         broken.digest = order.digest;
-        broken.pool = call.basis.pool;
+        broken.pool = call.stats.pool;
         broken.endpoint = call.endpoint;
         broken.sentAt = sentAt;
         broken.brokeAt = m_clock.now();
--- a/include/harelink/Kernel/load.h
+++ b/include/harelink/Kernel/load.h
@@ -101,7 +101,7 @@
     std::atomic<std::int64_t> freeAt{0}; ///< When the first can take a call; steady nanoseconds.
     std::atomic<int> endpoints{0};       ///< That take calls; 0 where nothing is known.
     /// Pieces in no call yet, own orders since included; by class of urgency.
-    std::array<std::atomic<int>, urgencyClassCount> waiting{};
+    std::array<std::atomic<int>, priorityClassCount> waiting{};
     std::atomic<int> slownessPercent{100};   ///< The time of calls against the declared one.
     std::atomic<int> correctionPercent{100}; ///< The time until pieces are made, against the
                                              ///< forecast without this.
--- a/include/harelink/Kernel/piecebatcher.h
+++ b/include/harelink/Kernel/piecebatcher.h
@@ -13,7 +13,7 @@
 
 #include "harelink/Kernel/endpointnotice.h"
 #include "harelink/Kernel/pieces.h"
-#include "harelink/Kernel/resultroom.h"
+#include "harelink/Kernel/resultbufferusage.h"
 #include "harelink/Kernel/snapshot.h"
 
 #include <absl/status/status.h>
@@ -28,14 +28,14 @@
 namespace harelink {
 
 /// What a call was formed from, for the log.
-struct PieceCallBasis
+struct PieceCallStats
 {
     std::string pool;
-    std::size_t waiting = 0;       ///< Pieces that were left for later calls.
-    std::size_t lackingRoom = 0;   ///< Of these, passed over for want of room there.
-    std::uint64_t bookedBytes = 0; ///< Room taken at the endpoint, with this call.
-    std::uint64_t roomBytes = 0;   ///< All its room; 0 where it has no limit.
-    Duration longestWait{};        ///< Of a piece in the call, from its order on.
+    std::size_t waiting = 0;            ///< Pieces that were left for later calls.
+    std::size_t lackingBufferSpace = 0; ///< Of these, passed over for want of room there.
+    std::uint64_t allocatedBytes = 0;   ///< Room taken at the endpoint, with this call.
+    std::uint64_t roomBytes = 0;        ///< All its room; 0 where it has no limit.
+    Duration longestWait{};             ///< Of a piece in the call, from its order on.
 };
 
 /// Action: call an endpoint.
@@ -47,7 +47,7 @@
     std::string address;
     std::vector<PieceOrder> orders; ///< Of any requests.
     Duration timeout{};
-    PieceCallBasis basis;
+    PieceCallStats stats;
 };
 
 /// What an endpoint says of one piece of a call.
@@ -70,7 +70,7 @@
 };
 
 /// Outcomes for the daemon \p host; empty for this one.
-struct PieceOutcomesTo
+struct OutgoingPieceOutcomes
 {
     std::string host;
     PieceOutcomes outcomes;
@@ -90,11 +90,11 @@
     explicit PieceBatcher(const Clock &clock);
 
     /// Takes in orders of the daemon \p host; empty for this one.
-    void take(const std::string &host, const PieceOrders &orders, const Snapshot &snapshot);
+    void handle(const std::string &host, const PieceOrders &orders, const Snapshot &snapshot);
     /// Takes in that \p host wants nothing more for some requests.
     void withdraw(const std::string &host, const PieceWithdrawal &withdrawal);
     /// Takes in that results are no longer needed.
-    void take(const PieceFrees &frees, const Snapshot &snapshot);
+    void handle(const PieceFrees &frees, const Snapshot &snapshot);
     void handle(const PieceCallEnded &event, const Snapshot &snapshot);
     /// Takes in that the life of \p endpoint is over, though it may go on under another name:
     /// its calls fail, and its results are gone.
@@ -105,18 +105,21 @@
     /// It answers the loss of many daemons at once: results that nobody frees take room for
     /// the seconds that endpoints keep them; after half of six daemons were lost, 0.93 of
     /// the room of a stage was taken for four seconds.
-    void forget(const std::string &host, const Snapshot &snapshot);
+    void removeHost(const std::string &host, const Snapshot &snapshot);
     /// Forms the calls that are due.
     void tick(const Snapshot &snapshot);
     [[nodiscard]] TimePoint nextTick() const;
 
     /// What came up since the last call.
-    [[nodiscard]] std::vector<PieceCall> takeCalls() { return std::exchange(m_calls, {}); }
-    [[nodiscard]] std::vector<PieceOutcomesTo> takeOutcomes(const Snapshot &snapshot);
+    [[nodiscard]] std::vector<PieceCall> drainCalls() { return std::exchange(m_calls, {}); }
+    [[nodiscard]] std::vector<OutgoingPieceOutcomes> drainOutcomes(const Snapshot &snapshot);
     /// Results that are to be freed now.
-    [[nodiscard]] std::vector<std::string> takeFreed();
+    [[nodiscard]] std::vector<std::string> drainFreedResults();
     /// Endpoints whose address another one answered at.
-    [[nodiscard]] std::vector<std::string> takeReplaced() { return std::exchange(m_replaced, {}); }
+    [[nodiscard]] std::vector<std::string> drainReplacedEndpoints()
+    {
+        return std::exchange(m_replaced, {});
+    }
     /// How busy each pool is that this daemon has calls or orders of.
     [[nodiscard]] std::vector<PieceBacklog> backlogs(const Snapshot &snapshot) const;
     /// Whether no call is in flight and no order waits.
@@ -158,7 +161,7 @@
     {
         std::vector<Item> waiting;
         std::map<std::string, Maker> makers; ///< By endpoint.
-        ResultRoom room;                     ///< At its endpoints.
+        ResultBufferUsage room;              ///< At its endpoints.
         TimePoint nextLook = TimePoint::max();
         TimePoint looksAgainAt; ///< Not before, where many pieces wait.
         TimePoint lastBusy;     ///< When an order came or a call ended last.
@@ -168,10 +171,10 @@
     struct Site
     {
         const EndpointEntry *endpoint = nullptr;
-        TimePoint freeAt;              ///< When it can take its next call.
-        TimePoint endAt;               ///< When a call with one piece would end there.
-        std::uint64_t bookedBytes = 0; ///< Room that is taken, or promised to calls in flight.
-        bool isPassed = false;         ///< It is free, but with nothing to do.
+        TimePoint freeAt;                 ///< When it can take its next call.
+        TimePoint endAt;                  ///< When a call with one piece would end there.
+        std::uint64_t allocatedBytes = 0; ///< Room that is taken, or promised to calls in flight.
+        bool isPassed = false;            ///< It is free, but with nothing to do.
         /// Left to its next call by pieces that wait for it, in the choice under way.
         std::size_t promisedPlaces = 0;
         std::uint64_t promisedBytes = 0;
@@ -180,9 +183,9 @@
     /// A choice of waiting pieces for one call.
     struct Choice
     {
-        std::vector<std::size_t> places; ///< In the line's queue, rising.
-        std::size_t lackingRoom = 0;     ///< Pieces left out for want of room.
-        std::uint64_t bookedBytes = 0;   ///< Room taken at the endpoint, with these.
+        std::vector<std::size_t> places;    ///< In the line's queue, rising.
+        std::size_t lackingBufferSpace = 0; ///< Pieces left out for want of room.
+        std::uint64_t allocatedBytes = 0;   ///< Room taken at the endpoint, with these.
     };
 
     void pump(const std::string &poolName, Line &line, const Snapshot &snapshot);
@@ -198,8 +201,8 @@
                                 const PoolEntry &pool) const;
     [[nodiscard]] static std::size_t endOfGroup(const std::vector<Item> &waiting,
                                                 std::size_t begin);
-    [[nodiscard]] std::uint64_t bookedBytes(const Line &line, const std::string &endpoint,
-                                            const PieceWorkSpec &work) const;
+    [[nodiscard]] std::uint64_t allocatedBytes(const Line &line, const std::string &endpoint,
+                                               const PieceWorkSpec &work) const;
     [[nodiscard]] bool waitsForNearer(const Item &item, std::size_t count, const Site &here,
                                       Sites &sites, const PieceWorkSpec &work) const;
     void send(const EndpointEntry &endpoint, Maker &maker, std::vector<Item> items,
--- a/include/harelink/Kernel/pieceforecast.h
+++ b/include/harelink/Kernel/pieceforecast.h
@@ -18,8 +18,8 @@
 
 /// The time until \p pieces more pieces of \p priority would be made by \p pool. What is
 /// less urgent does not stand in their way.
-[[nodiscard]] Duration predictPieces(const PoolEntry &pool, std::uint32_t pieces, int priority,
-                                     TimePoint now);
+[[nodiscard]] Duration predictCompletion(const PoolEntry &pool, std::uint32_t pieces, int priority,
+                                         TimePoint now);
 /// Whether \p pool has places that nobody else wants: what waits, of whatever urgency,
 /// takes less than sparePart of the next call of each endpoint.
 ///
@@ -27,18 +27,19 @@
 /// places of those that can be in time, and holds results while it waits behind them. Over
 /// three sites, three seeds of five days each, worth rose by 0.018, 0.023 and 0.008 against
 /// no such condition (0.554 to 0.572, 0.357 to 0.380, 0.471 to 0.479).
-[[nodiscard]] bool hasSparePlaces(const PoolEntry &pool);
+[[nodiscard]] bool hasSpareBatchSlots(const PoolEntry &pool);
 /// Pieces of one stage of one request, as far as their place goes.
 struct PieceGroup
 {
     std::uint32_t count = 1;
     int priority = 0;
-    PieceFlows flows;
-    std::string avoid;      ///< The part of the pool that failed them, if any.
-    std::uint64_t draw = 0; ///< Decides which other part is compared with.
+    PieceTransfers transfers;
+    std::string avoid;               ///< The part of the pool that failed them, if any.
+    std::uint64_t selectionHash = 0; ///< Decides which other part is compared with.
 
     /// The draw for \p stage of \p request, the same in each forecast and for the order.
-    [[nodiscard]] static std::uint64_t drawOf(const RequestId &request, std::uint32_t stage);
+    [[nodiscard]] static std::uint64_t selectionHashOf(const RequestId &request,
+                                                       std::uint32_t stage);
 };
 
 /// The part of \p pool where \p group is to be made: the one with the least crossings,
@@ -51,9 +52,9 @@
 [[nodiscard]] const PoolEntry &choosePart(const Snapshot &snapshot, const PoolEntry &pool,
                                           const PieceGroup &group, TimePoint now);
 /// Takes in what the batcher of \p pool told.
-void noteBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now);
+void recordBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now);
 /// Takes in that \p pieces more are ordered there.
-void noteOrdered(const PoolEntry &pool, std::uint32_t pieces, int priority);
+void recordOrdered(const PoolEntry &pool, std::uint32_t pieces, int priority);
 
 } // namespace harelink
 
--- a/include/harelink/Kernel/piecegraph.h
+++ b/include/harelink/Kernel/piecegraph.h
@@ -21,7 +21,7 @@
 namespace harelink {
 
 /// A piece within its request.
-struct PiecePlace
+struct PieceIndex
 {
     std::uint32_t stage = 0;
     std::uint32_t piece = 0;
@@ -42,15 +42,16 @@
     /// results would take room at their endpoints until these are made.
     /// \param times from the order of a stage until it is made, by stage; a stage without
     ///        one takes no time.
-    std::vector<PiecePlace> takeReady(const std::vector<Duration> &times = {});
+    std::vector<PieceIndex> scheduleReady(const std::vector<Duration> &times = {});
     /// A piece was made in \p dataCentre; false where it was made already.
-    bool made(PiecePlace place, const std::string &handle, const std::string &dataCentre = {});
+    bool markCompleted(PieceIndex place, const std::string &handle,
+                       const std::string &dataCentre = {});
     /// A piece that was given out is to be given out again.
-    void returned(PiecePlace place);
+    void reschedule(PieceIndex place);
     /// The results that \p stage needs are no longer kept: they are made again.
-    void inputsLost(std::uint32_t stage);
+    void recomputeInputs(std::uint32_t stage);
     /// The results that the request itself needs are no longer kept.
-    void finalResultsLost();
+    void recomputeFinalResults();
 
     /// Whether every piece is made.
     [[nodiscard]] bool isComplete() const;
@@ -60,15 +61,16 @@
     [[nodiscard]] std::vector<std::string> finalResults() const;
     /// The data centre where most bytes stand that each piece of \p stage reads, and how
     /// many; empty without any.
-    [[nodiscard]] std::pair<std::string, std::uint64_t> mostInputBytes(std::uint32_t stage) const;
+    [[nodiscard]] std::pair<std::string, std::uint64_t>
+    mainInputDataCentre(std::uint32_t stage) const;
     /// The same of the results that the request itself needs, as far as they are made.
-    [[nodiscard]] std::pair<std::string, std::uint64_t> mostFinalBytes() const;
+    [[nodiscard]] std::pair<std::string, std::uint64_t> mainResultDataCentre() const;
     /// The results of which nobody has need any more and that were not told before.
-    std::vector<std::string> takeUnneeded();
+    std::vector<std::string> releaseUnneeded();
     /// All results that are kept somewhere for this request; they are forgotten.
-    std::vector<std::string> takeAll();
-    /// Whether the results that the request itself needs were taken by takeAll().
-    [[nodiscard]] bool finalResultsTaken() const;
+    std::vector<std::string> releaseAll();
+    /// Whether the results that the request itself needs were taken by releaseAll().
+    [[nodiscard]] bool finalResultsReleased() const;
     /// The pool that makes the pieces of \p stage.
     [[nodiscard]] const std::string &poolOf(std::uint32_t stage) const;
 
--- a/include/harelink/Kernel/piecerouter.h
+++ b/include/harelink/Kernel/piecerouter.h
@@ -32,7 +32,7 @@
 namespace harelink {
 
 /// Orders for the batcher \p host, which may be this daemon itself.
-struct PieceOrdersTo
+struct OutgoingPieceOrders
 {
     std::string host;
     PieceOrders orders;
@@ -46,35 +46,38 @@
     PieceRouter(const Clock &clock, const Membership &membership, const RetryBudgetOptions &budget);
 
     /// Orders pieces of one request at \p pool.
-    void order(const std::string &pool, const std::vector<PieceOrder> &orders,
-               const Snapshot &snapshot);
+    void submit(const std::string &pool, const std::vector<PieceOrder> &orders,
+                const Snapshot &snapshot);
     /// These results are no longer needed.
     void free(const std::vector<std::string> &handles, const Snapshot &snapshot);
     /// The pieces of \p request are no longer wanted.
     void withdraw(const RequestId &request);
     /// Takes in what became of orders.
-    void take(const PieceOutcomes &outcomes, const Snapshot &snapshot);
+    void handle(const PieceOutcomes &outcomes, const Snapshot &snapshot);
     /// Takes in how busy a pool is.
-    static void take(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now);
+    static void handle(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now);
     /// Orders again what has waited too long.
     void tick(const Snapshot &snapshot);
     [[nodiscard]] TimePoint nextTick() const;
 
     /// What came up since the last call.
-    [[nodiscard]] std::vector<PieceOrdersTo> takeOrders() { return std::exchange(m_sends, {}); }
-    [[nodiscard]] std::vector<PieceOutcome> takeOutcomes() { return std::exchange(m_done, {}); }
+    [[nodiscard]] std::vector<OutgoingPieceOrders> drainOrders()
+    {
+        return std::exchange(m_sends, {});
+    }
+    [[nodiscard]] std::vector<PieceOutcome> drainOutcomes() { return std::exchange(m_done, {}); }
     /// Withdrawals by host.
-    [[nodiscard]] std::map<std::string, PieceWithdrawal> takeWithdrawals()
+    [[nodiscard]] std::map<std::string, PieceWithdrawal> drainWithdrawals()
     {
         return std::exchange(m_withdrawals, {});
     }
     /// Results to be freed, by host.
-    [[nodiscard]] std::vector<std::pair<std::string, PieceFrees>> takeFrees()
+    [[nodiscard]] std::vector<std::pair<std::string, PieceFrees>> drainFrees()
     {
         return std::exchange(m_frees, {});
     }
     /// How often a piece was ordered again.
-    [[nodiscard]] std::uint64_t reorders() const { return m_reorders; }
+    [[nodiscard]] std::uint64_t resubmissions() const { return m_reorders; }
 
 private:
     struct Pending
@@ -119,7 +122,7 @@
     std::map<std::string, RetryBudget> m_budgets; ///< By pool.
     std::map<PieceId, Pending> m_pending;
     std::map<std::string, Result> m_results; ///< By handle.
-    std::vector<PieceOrdersTo> m_sends;
+    std::vector<OutgoingPieceOrders> m_sends;
     std::vector<PieceOutcome> m_done;
     std::map<std::string, PieceWithdrawal> m_withdrawals;
     std::vector<std::pair<std::string, PieceFrees>> m_frees;
--- a/include/harelink/Kernel/pieces.h
+++ b/include/harelink/Kernel/pieces.h
@@ -42,29 +42,29 @@
     std::string key;                 ///< What it is made from, where there are no inputs.
     std::vector<std::string> inputs; ///< Results of earlier pieces.
     int priority = 0;                ///< 0 is the most urgent.
-    Duration wantedIn{};             ///< Until the request's objective, as of the sending.
-    Duration dueIn{};                ///< Until it is of no use any more, as of the sending.
+    Duration untilObjective{};       ///< Until the request's objective, as of the sending.
+    Duration untilDeadline{};        ///< Until it is of no use any more, as of the sending.
     std::uint64_t resultBytes = 0;   ///< About how large its result is.
     std::string dataCentre;          ///< Where the result will be needed; empty for anywhere.
     std::uint64_t inputBytes = 0;    ///< About how much it reads of earlier results.
-    std::string inputsAt;            ///< The data centre where most of that stands.
+    std::string inputsDataCentre;    ///< The data centre where most of that stands.
     std::string avoid;               ///< An endpoint that failed it.
 };
 
 /// What moves for pieces of one stage of one request. Each of them reads all its inputs:
 /// sixteen pieces that read half a megabyte each move eight.
-struct PieceFlows
+struct PieceTransfers
 {
     std::uint64_t inputBytes = 0;  ///< Read by all of them.
-    std::string inputsAt;          ///< The data centre of these; empty for none.
+    std::string inputsDataCentre;  ///< The data centre of these; empty for none.
     std::uint64_t resultBytes = 0; ///< Made by all of them.
-    std::string resultsTo;         ///< The data centre that needs these; empty for any.
+    std::string resultsDataCentre; ///< The data centre that needs these; empty for any.
 };
 
 /// The flows of \p count pieces like \p order.
-[[nodiscard]] PieceFlows flowsOf(const PieceOrder &order, std::size_t count);
+[[nodiscard]] PieceTransfers transfersOf(const PieceOrder &order, std::size_t count);
 /// What the crossings count as, in time, if the pieces are made in \p dataCentre.
-[[nodiscard]] Duration crossingCost(const PieceFlows &flows, const std::string &dataCentre);
+[[nodiscard]] Duration transferCost(const PieceTransfers &transfers, const std::string &dataCentre);
 
 /// Why a piece was not made.
 enum class PieceFault {
@@ -91,11 +91,11 @@
 };
 
 /// Pieces wait in classes: those of priority 0, 1 and 2, and all that are less urgent.
-inline constexpr std::size_t urgencyClassCount = 4;
+inline constexpr std::size_t priorityClassCount = 4;
 /// The class of \p priority.
-[[nodiscard]] constexpr std::size_t urgencyClass(int priority)
+[[nodiscard]] constexpr std::size_t priorityClass(int priority)
 {
-    const auto last = static_cast<int>(urgencyClassCount) - 1;
+    const auto last = static_cast<int>(priorityClassCount) - 1;
     return static_cast<std::size_t>(priority < 0 ? 0 : (priority > last ? last : priority));
 }
 
@@ -106,7 +106,7 @@
     Duration freeIn{};           ///< Until the first endpoint can take a call.
     std::uint32_t endpoints = 0; ///< That take calls.
     /// Pieces that are in no call yet, by class.
-    std::array<std::uint32_t, urgencyClassCount> waiting{};
+    std::array<std::uint32_t, priorityClassCount> waiting{};
     double slowness = 1;   ///< The time of calls against the declared one.
     double correction = 1; ///< The time until pieces were made against its forecast.
 };
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -272,7 +272,7 @@
 {
     if (hasTurn(request, snapshot, 0) && mayRetry(request, event.evidence)) {
         ++m_counters.retries;
-        if (request.pieces && request.pieces->finalResultsTaken()) {
+        if (request.pieces && request.pieces->finalResultsReleased()) {
             piecesLost(request, snapshot);
             return;
         }
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -95,7 +95,7 @@
     need.sharedTokens = request.proxied->sharedTokens();
     need.tokensPerSecond = poolState(request.stageSpec().pool).tokensPerSecond;
     if (request.pieces) {
-        std::tie(need.dataCentre, need.inputBytes) = request.pieces->mostFinalBytes();
+        std::tie(need.dataCentre, need.inputBytes) = request.pieces->mainResultDataCentre();
     }
     need.slack = request.wanted - m_clock.now() - requestmachine::firstEventOverhead;
     return need;
@@ -147,10 +147,11 @@
         PieceGroup group;
         group.count = count;
         group.priority = request.priority;
-        group.flows.resultsTo = wantedAt;
-        group.draw = PieceGroup::drawOf(request.id, static_cast<std::uint32_t>(i));
+        group.transfers.resultsDataCentre = wantedAt;
+        group.selectionHash =
+            PieceGroup::selectionHashOf(request.id, static_cast<std::uint32_t>(i));
         const PoolEntry &part = choosePart(snapshot, *pool, group, m_clock.now());
-        times[i] = predictPieces(part, count, request.priority, m_clock.now());
+        times[i] = predictCompletion(part, count, request.priority, m_clock.now());
     }
     return times;
 }
@@ -228,7 +229,7 @@
     const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
     for (std::size_t i = 0; i < std::min(stages.size(), counts.size()); ++i) {
         const PoolEntry *pool = snapshot.pool(stages[i].pool);
-        if (counts[i] > 0 && pool != nullptr && !hasSparePlaces(*pool)) {
+        if (counts[i] > 0 && pool != nullptr && !hasSpareBatchSlots(*pool)) {
             return false;
         }
     }
@@ -328,8 +329,9 @@
     if (home != nullptr) {
         return home->spec.dataCentre;
     }
-    const std::string made = request.pieces ? request.pieces->mostFinalBytes().first : "";
-    return made.empty() ? snapshot.dataCentre : made;
+    const std::string resultDataCentre =
+        request.pieces ? request.pieces->mainResultDataCentre().first : "";
+    return resultDataCentre.empty() ? snapshot.dataCentre : resultDataCentre;
 }
 
 /// Orders all pieces that can be made now.
@@ -339,7 +341,7 @@
     const TimePoint now = m_clock.now();
     const std::string dataCentre = resultsWantedAt(request, snapshot);
     std::map<std::uint32_t, OrderPieces> byStage;
-    for (const PiecePlace place : request.pieces->takeReady(stageTimes(request, snapshot))) {
+    for (const PieceIndex place : request.pieces->scheduleReady(stageTimes(request, snapshot))) {
         PieceOrder order;
         order.id = {request.id, place.stage, place.piece};
         order.callerId = request.proxied->callerId;
@@ -348,10 +350,11 @@
         if (order.inputs.empty()) {
             order.key = request.proxied->pieceKey;
         }
-        std::tie(order.inputsAt, order.inputBytes) = request.pieces->mostInputBytes(place.stage);
+        std::tie(order.inputsDataCentre, order.inputBytes) =
+            request.pieces->mainInputDataCentre(place.stage);
         order.priority = request.priority;
-        order.wantedIn = request.wanted - now;
-        order.dueIn = request.preparedBy - now;
+        order.untilObjective = request.wanted - now;
+        order.untilDeadline = request.preparedBy - now;
         order.dataCentre = dataCentre;
         order.resultBytes = request.pipeline.route->pieceStages[place.stage].resultBytes;
         OrderPieces &action = byStage[place.stage];
@@ -361,7 +364,7 @@
     for (auto &[stage, action] : byStage) {
         m_actions.emplace_back(std::move(action));
     }
-    std::vector<std::string> unneeded = request.pieces->takeUnneeded();
+    std::vector<std::string> unneeded = request.pieces->releaseUnneeded();
     if (!unneeded.empty()) {
         m_actions.emplace_back(FreeResults{std::move(unneeded)});
     }
@@ -394,11 +397,11 @@
         }
         return;
     }
-    const PiecePlace place{outcome.id.stage, outcome.id.piece};
+    const PieceIndex place{outcome.id.stage, outcome.id.piece};
     switch (outcome.fault) {
     case PieceFault::None:
-        if (!request->pieces->made(place, outcome.handle,
-                                   dataCentreOf(outcome.endpoint, snapshot))) {
+        if (!request->pieces->markCompleted(place, outcome.handle,
+                                            dataCentreOf(outcome.endpoint, snapshot))) {
             m_actions.emplace_back(FreeResults{{outcome.handle}});
             return;
         }
@@ -406,8 +409,8 @@
     case PieceFault::InputGone:
         if (request->remakes < requestmachine::mostRemakes) {
             ++request->remakes;
-            request->pieces->returned(place);
-            request->pieces->inputsLost(place.stage);
+            request->pieces->reschedule(place);
+            request->pieces->recomputeInputs(place.stage);
             break;
         }
         [[fallthrough]];
@@ -456,7 +459,7 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::releaseResults(Request &request)
 {
-    std::vector<std::string> handles = request.pieces->takeAll();
+    std::vector<std::string> handles = request.pieces->releaseAll();
     if (!handles.empty()) {
         m_actions.emplace_back(FreeResults{std::move(handles)});
     }
@@ -474,7 +477,7 @@
         return;
     }
     ++request.remakes;
-    request.pieces->finalResultsLost();
+    request.pieces->recomputeFinalResults();
     request.phase = Request::Phase::Preparing;
     if (request.headPassedOn) {
         // Its objective was met or missed with the first event; what is left is its end.
--- a/include/harelink/Kernel/resultroom.h
+++ b/include/harelink/Kernel/resultbufferusage.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/resultroom.h - Room of results -----------*- C++ -*-===//
+//===- harelink/Kernel/resultbufferusage.h - Buffer usage -------*- C++ -*-===//
 ///
 /// \file
 /// Keeps account of the room that results take at the endpoints of a pool, as its batcher
@@ -7,8 +7,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_RESULTROOM_H
-#define HARELINK_KERNEL_RESULTROOM_H
+#ifndef HARELINK_KERNEL_RESULTBUFFERUSAGE_H
+#define HARELINK_KERNEL_RESULTBUFFERUSAGE_H
 
 #include "harelink/Support/clock.h"
 
@@ -20,7 +20,7 @@
 namespace harelink {
 
 /// A result that takes room.
-struct KeptResult
+struct BufferedResult
 {
     std::string endpoint;
     std::uint64_t bytes = 0;
@@ -29,11 +29,11 @@
 };
 
 /// The account.
-class ResultRoom
+class ResultBufferUsage
 {
 public:
     /// The result called \p handle takes room from now on.
-    void keep(const std::string &handle, KeptResult result);
+    void keep(const std::string &handle, BufferedResult result);
     /// It takes none any more; nothing happens for one that is not known.
     void drop(const std::string &handle);
     /// Drops what was ordered by \p host; the handles of it.
@@ -45,14 +45,17 @@
 
     /// \p endpoint had no room although some should have been left: it is taken to be full
     /// until \p until.
-    void noteFull(const std::string &endpoint, TimePoint until) { m_fullUntil[endpoint] = until; }
+    void recordBufferFull(const std::string &endpoint, TimePoint until)
+    {
+        m_fullUntil[endpoint] = until;
+    }
     /// Whether that holds.
     [[nodiscard]] bool isFull(const std::string &endpoint, TimePoint now) const;
     /// What results take at \p endpoint.
     [[nodiscard]] std::uint64_t bytesAt(const std::string &endpoint) const;
 
 private:
-    using Results = std::map<std::string, KeptResult>; ///< By handle.
+    using Results = std::map<std::string, BufferedResult>; ///< By handle.
 
     Results::iterator erase(Results::iterator result);
 
@@ -66,4 +69,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_RESULTROOM_H
+#endif // HARELINK_KERNEL_RESULTBUFFERUSAGE_H
--- a/lib/Adapters/peercodec.cpp
+++ b/lib/Adapters/peercodec.cpp
@@ -194,13 +194,13 @@
                 item.add_inputs(input);
             }
             item.set_priority(order.priority);
-            item.set_wanted_in_micros(toMicros(order.wantedIn));
-            item.set_due_in_micros(toMicros(order.dueIn));
+            item.set_wanted_in_micros(toMicros(order.untilObjective));
+            item.set_due_in_micros(toMicros(order.untilDeadline));
             item.set_result_bytes(order.resultBytes);
             item.set_data_centre(order.dataCentre);
             item.set_avoid(order.avoid);
             item.set_input_bytes(order.inputBytes);
-            item.set_inputs_at(order.inputsAt);
+            item.set_inputs_at(order.inputsDataCentre);
         }
     }
     void operator()(const PieceOutcomes &from) const
@@ -351,13 +351,13 @@
         order.key = item.key();
         order.inputs.assign(item.inputs().begin(), item.inputs().end());
         order.priority = item.priority();
-        order.wantedIn = microseconds(item.wanted_in_micros());
-        order.dueIn = microseconds(item.due_in_micros());
+        order.untilObjective = microseconds(item.wanted_in_micros());
+        order.untilDeadline = microseconds(item.due_in_micros());
         order.resultBytes = item.result_bytes();
         order.dataCentre = item.data_centre();
         order.avoid = item.avoid();
         order.inputBytes = item.input_bytes();
-        order.inputsAt = item.inputs_at();
+        order.inputsDataCentre = item.inputs_at();
         to.orders.push_back(std::move(order));
     }
     return to;
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -70,17 +70,17 @@
 /// Tells why a call has the pieces that it has, and what waits on.
 void logPieceCall(const PieceCall &call)
 {
-    const PieceCallBasis &basis = call.basis;
+    const PieceCallStats &stats = call.stats;
     logger.record(LogLevel::Info, "piece-call")
-        .field("pool", basis.pool)
+        .field("pool", stats.pool)
         .field("endpoint", call.endpoint)
         .field("request", call.orders.front().callerId)
         .field("pieces", call.orders.size())
-        .field("waiting", basis.waiting)
-        .field("lackingRoom", basis.lackingRoom)
-        .field("bookedBytes", basis.bookedBytes)
-        .field("roomBytes", basis.roomBytes)
-        .field("longestWaitMs", static_cast<std::int64_t>(toMilliseconds(basis.longestWait)));
+        .field("waiting", stats.waiting)
+        .field("lackingRoom", stats.lackingBufferSpace)
+        .field("bookedBytes", stats.allocatedBytes)
+        .field("roomBytes", stats.roomBytes)
+        .field("longestWaitMs", static_cast<std::int64_t>(toMilliseconds(stats.longestWait)));
 }
 
 /// Tells of data centres that are drained from now on, or no more.
@@ -169,7 +169,7 @@
 void Control::order(const OrderPieces &order)
 {
     m_loop.post([this, order] {
-        m_pieceRouter.order(order.pool, order.orders, m_snapshot.current());
+        m_pieceRouter.submit(order.pool, order.orders, m_snapshot.current());
         carryOut();
     });
 }
@@ -406,11 +406,11 @@
 {
     const Snapshot &snapshot = m_snapshot.current();
     if (const auto *orders = std::get_if<PieceOrders>(&message.content)) {
-        m_pieceBatcher.take(message.host, *orders, snapshot);
+        m_pieceBatcher.handle(message.host, *orders, snapshot);
     } else if (const auto *outcomes = std::get_if<PieceOutcomes>(&message.content)) {
-        m_pieceRouter.take(*outcomes, snapshot);
+        m_pieceRouter.handle(*outcomes, snapshot);
     } else if (const auto *frees = std::get_if<PieceFrees>(&message.content)) {
-        m_pieceBatcher.take(*frees, snapshot);
+        m_pieceBatcher.handle(*frees, snapshot);
     } else if (const auto *withdrawal = std::get_if<PieceWithdrawal>(&message.content)) {
         m_pieceBatcher.withdraw(message.host, *withdrawal);
     }
@@ -424,7 +424,7 @@
     bool more = true;
     while (more) {
         more = false;
-        for (PieceOrdersTo &send : m_pieceRouter.takeOrders()) {
+        for (OutgoingPieceOrders &send : m_pieceRouter.drainOrders()) {
             more = true;
             logger.record(LogLevel::Info, "pieces-ordered")
                 .field("request", send.orders.orders.front().callerId)
@@ -433,45 +433,46 @@
                 .field("pool", send.orders.pool)
                 .field("batcher", send.host)
                 .field("dueMs",
-                       fmt::format("{:.0f}", toMilliseconds(send.orders.orders.front().dueIn)));
+                       fmt::format("{:.0f}",
+                                   toMilliseconds(send.orders.orders.front().untilDeadline)));
             if (send.host == self) {
-                m_pieceBatcher.take("", send.orders, snapshot);
+                m_pieceBatcher.handle("", send.orders, snapshot);
             } else {
                 sendTo(send.host, std::move(send.orders));
             }
         }
-        for (auto &[host, withdrawal] : m_pieceRouter.takeWithdrawals()) {
+        for (auto &[host, withdrawal] : m_pieceRouter.drainWithdrawals()) {
             if (host == self) {
                 m_pieceBatcher.withdraw("", withdrawal);
             } else {
                 sendTo(host, withdrawal);
             }
         }
-        for (auto &[host, frees] : m_pieceRouter.takeFrees()) {
+        for (auto &[host, frees] : m_pieceRouter.drainFrees()) {
             if (host == self) {
-                m_pieceBatcher.take(frees, snapshot);
+                m_pieceBatcher.handle(frees, snapshot);
             } else {
                 sendTo(host, std::move(frees));
             }
         }
-        for (PieceOutcomesTo &send : m_pieceBatcher.takeOutcomes(snapshot)) {
+        for (OutgoingPieceOutcomes &send : m_pieceBatcher.drainOutcomes(snapshot)) {
             more = true;
             if (send.host.empty()) {
-                m_pieceRouter.take(send.outcomes, snapshot);
+                m_pieceRouter.handle(send.outcomes, snapshot);
             } else {
                 sendTo(send.host, std::move(send.outcomes));
             }
         }
-        for (const PieceCall &call : m_pieceBatcher.takeCalls()) {
+        for (const PieceCall &call : m_pieceBatcher.drainCalls()) {
             logPieceCall(call);
             callPieces(call);
         }
-        for (const std::string &endpoint : m_pieceBatcher.takeReplaced()) {
+        for (const std::string &endpoint : m_pieceBatcher.drainReplacedEndpoints()) {
             noteReplaced(endpoint);
         }
     }
-    freeResults(m_pieceBatcher.takeFreed());
-    for (PieceOutcome &outcome : m_pieceRouter.takeOutcomes()) {
+    freeResults(m_pieceBatcher.drainFreedResults());
+    for (PieceOutcome &outcome : m_pieceRouter.drainOutcomes()) {
         m_workers.pieceEnded(PieceEnded{std::move(outcome)});
     }
 }
@@ -513,7 +514,7 @@
         m_workers.decided(std::move(decision));
     }
     for (const PieceBacklog &backlog : output.backlogs) {
-        PieceRouter::take(backlog, m_snapshot.current(), m_clock.now());
+        PieceRouter::handle(backlog, m_snapshot.current(), m_clock.now());
     }
     for (const PromptBacklog &prompt : output.prompts) {
         if (const EndpointEntry *endpoint = m_snapshot.current().endpoint(prompt.endpoint)) {
@@ -649,7 +650,7 @@
     }
     for (const std::string &host : silent) {
         logger.record(LogLevel::Warning, "peer-silent").field("host", host);
-        m_pieceBatcher.forget(host, m_snapshot.current());
+        m_pieceBatcher.removeHost(host, m_snapshot.current());
     }
     m_peersBefore = now;
 }
@@ -738,7 +739,7 @@
         counter("harelink_platform_calls_total", m_platformCalls);
         counter("harelink_piece_calls_total", m_pieceBatcher.callCount());
         counter("harelink_pieces_called_total", m_pieceBatcher.pieceCount());
-        counter("harelink_piece_reorders_total", m_pieceRouter.reorders());
+        counter("harelink_piece_reorders_total", m_pieceRouter.resubmissions());
         counter("harelink_log_lines_dropped_total", droppedLogLines());
         counter("harelink_claim_operations_total", claims.operations);
         counter("harelink_claim_updates_total", claims.updates);
--- a/lib/Kernel/piecebatcher.cpp
+++ b/lib/Kernel/piecebatcher.cpp
@@ -59,8 +59,8 @@
 {
 }
 
-void PieceBatcher::take(const std::string &host, const PieceOrders &orders,
-                        const Snapshot &snapshot)
+void PieceBatcher::handle(const std::string &host, const PieceOrders &orders,
+                          const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     if (!orders.orders.empty()) {
@@ -71,9 +71,9 @@
     Duration predicted{};
     if (const PoolEntry *pool = snapshot.poolOrPart(orders.pool);
         pool != nullptr && !orders.orders.empty()) {
-        noteBacklog(*pool, backlogOf(orders.pool, line, snapshot), now);
-        predicted = predictPieces(*pool, static_cast<std::uint32_t>(orders.orders.size()),
-                                  orders.orders.front().priority, now);
+        recordBacklog(*pool, backlogOf(orders.pool, line, snapshot), now);
+        predicted = predictCompletion(*pool, static_cast<std::uint32_t>(orders.orders.size()),
+                                      orders.orders.front().priority, now);
     }
     for (const PieceOrder &order : orders.orders) {
         Item item;
@@ -81,8 +81,8 @@
         item.predicted = predicted;
         item.host = host;
         item.order = order;
-        item.wanted = now + order.wantedIn;
-        item.due = now + order.dueIn;
+        item.wanted = now + order.untilObjective;
+        item.due = now + order.untilDeadline;
         line.waiting.push_back(std::move(item));
     }
     pump(orders.pool, line, snapshot);
@@ -117,7 +117,7 @@
     }
 }
 
-void PieceBatcher::forget(const std::string &host, const Snapshot &snapshot)
+void PieceBatcher::removeHost(const std::string &host, const Snapshot &snapshot)
 {
     if (m_incarnations.erase(host) == 0) {
         return;
@@ -284,7 +284,7 @@
 {
     for (std::size_t i = 0; i < flight.items.size() && i < event.results.size(); ++i) {
         if (event.results[i].fault == PieceFault::NoRoom) {
-            line.room.noteFull(endpoint, now + noRoomPause);
+            line.room.recordBufferFull(endpoint, now + noRoomPause);
         }
         if (event.results[i].fault != PieceFault::None) {
             continue;
@@ -299,7 +299,7 @@
     }
 }
 
-void PieceBatcher::take(const PieceFrees &frees, const Snapshot &snapshot)
+void PieceBatcher::handle(const PieceFrees &frees, const Snapshot &snapshot)
 {
     freeSoon(frees.handles);
     const auto found = m_lines.find(frees.pool);
@@ -323,7 +323,7 @@
     }
 }
 
-std::vector<std::string> PieceBatcher::takeFreed()
+std::vector<std::string> PieceBatcher::drainFreedResults()
 {
     if (m_clock.now() < m_freeAt) {
         return {};
@@ -363,7 +363,7 @@
     PieceBacklog backlog;
     backlog.pool = pool;
     for (const Item &item : line.waiting) {
-        ++backlog.waiting[urgencyClass(item.order.priority)];
+        ++backlog.waiting[priorityClass(item.order.priority)];
     }
     const PoolEntry *entry = snapshot.poolOrPart(pool);
     if (entry == nullptr) {
@@ -415,12 +415,12 @@
     return backlogs;
 }
 
-std::vector<PieceOutcomesTo> PieceBatcher::takeOutcomes(const Snapshot &snapshot)
+std::vector<OutgoingPieceOutcomes> PieceBatcher::drainOutcomes(const Snapshot &snapshot)
 {
-    std::vector<PieceOutcomesTo> sends;
+    std::vector<OutgoingPieceOutcomes> sends;
     for (auto &[where, outcomes] : std::exchange(m_outcomes, {})) {
         const auto &[host, pool] = where;
-        PieceOutcomesTo send;
+        OutgoingPieceOutcomes send;
         send.host = host;
         send.outcomes.outcomes = std::move(outcomes);
         send.outcomes.backlog = backlogOf(pool, m_lines[pool], snapshot);
--- a/lib/Kernel/piececalls.cpp
+++ b/lib/Kernel/piececalls.cpp
@@ -86,7 +86,7 @@
     site.freeAt = freeAt(line, endpoint, m_clock.now());
     site.endAt = site.freeAt
                  + scaled(work.callTime, maker == line.makers.end() ? 1 : maker->second.slowness);
-    site.bookedBytes = bookedBytes(line, endpoint.spec.name, work);
+    site.allocatedBytes = allocatedBytes(line, endpoint.spec.name, work);
     return site;
 }
 
@@ -198,8 +198,8 @@
 }
 
 /// The room at \p endpoint that is taken, or promised to calls in flight.
-std::uint64_t PieceBatcher::bookedBytes(const Line &line, const std::string &endpoint,
-                                        const PieceWorkSpec &work) const
+std::uint64_t PieceBatcher::allocatedBytes(const Line &line, const std::string &endpoint,
+                                           const PieceWorkSpec &work) const
 {
     if (line.room.isFull(endpoint, m_clock.now())) {
         return std::max(line.room.bytesAt(endpoint), work.roomBytes);
@@ -226,8 +226,8 @@
 bool PieceBatcher::waitsForNearer(const Item &item, std::size_t count, const Site &here,
                                   Sites &sites, const PieceWorkSpec &work) const
 {
-    const PieceFlows flows = flowsOf(item.order, count);
-    const Duration costHere = crossingCost(flows, here.endpoint->spec.dataCentre);
+    const PieceTransfers transfers = transfersOf(item.order, count);
+    const Duration costHere = transferCost(transfers, here.endpoint->spec.dataCentre);
     if (costHere == Duration::zero()) {
         return false;
     }
@@ -235,13 +235,13 @@
     const std::uint64_t bytes = item.order.resultBytes * count;
     for (Site &other : sites) {
         const EndpointSpec &spec = other.endpoint->spec;
-        const Duration saved = costHere - crossingCost(flows, spec.dataCentre);
+        const Duration saved = costHere - transferCost(transfers, spec.dataCentre);
         const bool isNearer =
             saved > Duration::zero() && spec.name != item.order.avoid && other.freeAt < now + saved;
         if (!isNearer) {
             continue;
         }
-        const std::uint64_t booked = other.bookedBytes + other.promisedBytes;
+        const std::uint64_t booked = other.allocatedBytes + other.promisedBytes;
         const bool hasRoom = work.roomBytes == 0 || booked + bytes <= work.roomBytes;
         if (other.promisedPlaces + count <= work.batch && hasRoom) {
             other.promisedPlaces += count;
@@ -259,7 +259,7 @@
 {
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
     const std::string &name = site.endpoint->spec.name;
-    std::uint64_t taken = site.bookedBytes;
+    std::uint64_t taken = site.allocatedBytes;
     for (Site &other : sites) {
         other.promisedPlaces = 0;
         other.promisedBytes = 0;
@@ -279,7 +279,7 @@
             for (std::size_t i = begin; i < std::min(end, begin + places); ++i) {
                 const std::uint64_t bytes = line.waiting[i].order.resultBytes;
                 if (work.roomBytes > 0 && taken + bytes > work.roomBytes) {
-                    choice.lackingRoom += std::min(end, begin + places) - i;
+                    choice.lackingBufferSpace += std::min(end, begin + places) - i;
                     break;
                 }
                 taken += bytes;
@@ -288,7 +288,7 @@
         }
         begin = end;
     }
-    choice.bookedBytes = taken;
+    choice.allocatedBytes = taken;
     return choice;
 }
 
@@ -324,17 +324,17 @@
         line.waiting.erase(line.waiting.begin() + static_cast<std::ptrdiff_t>(*place));
     }
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
-    PieceCallBasis basis;
-    basis.pool = pool.spec.name;
-    basis.waiting = line.waiting.size();
-    basis.lackingRoom = choice.lackingRoom;
-    basis.bookedBytes = choice.bookedBytes;
-    basis.roomBytes = work.roomBytes;
+    PieceCallStats stats;
+    stats.pool = pool.spec.name;
+    stats.waiting = line.waiting.size();
+    stats.lackingBufferSpace = choice.lackingBufferSpace;
+    stats.allocatedBytes = choice.allocatedBytes;
+    stats.roomBytes = work.roomBytes;
     for (const Item &item : items) {
-        basis.longestWait = std::max<Duration>(basis.longestWait, m_clock.now() - item.takenAt);
+        stats.longestWait = std::max<Duration>(stats.longestWait, m_clock.now() - item.takenAt);
     }
     send(endpoint, line.makers[endpoint.spec.name], std::move(items), work);
-    m_calls.back().basis = std::move(basis);
+    m_calls.back().stats = std::move(stats);
     return true;
 }
 
@@ -356,8 +356,8 @@
     call.address = endpoint.spec.address;
     call.timeout = scaled(flight.expectedEnd - now + flight.declared, timeoutFactor) + timeoutSlack;
     for (Item &item : items) {
-        item.order.wantedIn = item.wanted - now;
-        item.order.dueIn = item.due - now;
+        item.order.untilObjective = item.wanted - now;
+        item.order.untilDeadline = item.due - now;
         call.orders.push_back(item.order);
     }
     m_pieceCount += items.size();
--- a/lib/Kernel/pieceforecast.cpp
+++ b/lib/Kernel/pieceforecast.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::uint64_t PieceGroup::drawOf(const RequestId &request, std::uint32_t stage)
+std::uint64_t PieceGroup::selectionHashOf(const RequestId &request, std::uint32_t stage)
 {
     return hash64(fmt::format("{}/{}/{}", request.incarnation, request.sequence, stage));
 }
@@ -52,23 +52,23 @@
     }
     const auto nearest = std::min_element(parts.begin(), parts.end(),
                                           [&group](const PoolEntry *a, const PoolEntry *b) {
-                                              return crossingCost(group.flows, a->dataCentre)
-                                                     < crossingCost(group.flows, b->dataCentre);
+                                              return transferCost(group.transfers, a->dataCentre)
+                                                     < transferCost(group.transfers, b->dataCentre);
                                           });
     const PoolEntry *own = *nearest;
     parts.erase(nearest);
     if (parts.empty()) {
         return *own;
     }
-    const PoolEntry *other = parts[group.draw % parts.size()];
+    const PoolEntry *other = parts[group.selectionHash % parts.size()];
     const auto predicted = [&](const PoolEntry &part) {
-        return predictPieces(part, group.count, group.priority, now)
-               + crossingCost(group.flows, part.dataCentre);
+        return predictCompletion(part, group.count, group.priority, now)
+               + transferCost(group.transfers, part.dataCentre);
     };
     return predicted(*other) + crossingReserve < predicted(*own) ? *other : *own;
 }
 
-Duration predictPieces(const PoolEntry &pool, std::uint32_t pieces, int priority, TimePoint now)
+Duration predictCompletion(const PoolEntry &pool, std::uint32_t pieces, int priority, TimePoint now)
 {
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
     if (pool.pieceLoad == nullptr) {
@@ -76,7 +76,7 @@
     }
     const PieceLoad &load = *pool.pieceLoad;
     int waiting = 0;
-    for (std::size_t i = 0; i <= urgencyClass(priority); ++i) {
+    for (std::size_t i = 0; i <= priorityClass(priority); ++i) {
         waiting += std::max(0, load.waiting[i].load(std::memory_order_relaxed));
     }
     const std::uint32_t all = static_cast<std::uint32_t>(waiting) + pieces;
@@ -94,7 +94,7 @@
     return std::chrono::duration_cast<Duration>((wait + (before + own) * slowness) * correction);
 }
 
-bool hasSparePlaces(const PoolEntry &pool)
+bool hasSpareBatchSlots(const PoolEntry &pool)
 {
     if (pool.pieceLoad == nullptr || !pool.spec.pieces) {
         return true;
@@ -109,7 +109,7 @@
     return waiting < places * sparePart;
 }
 
-void noteBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now)
+void recordBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now)
 {
     if (pool.pieceLoad == nullptr) {
         return;
@@ -117,7 +117,7 @@
     PieceLoad &load = *pool.pieceLoad;
     load.freeAt.store(steadyNanos(now + backlog.freeIn), std::memory_order_relaxed);
     load.endpoints.store(static_cast<int>(backlog.endpoints), std::memory_order_relaxed);
-    for (std::size_t i = 0; i < urgencyClassCount; ++i) {
+    for (std::size_t i = 0; i < priorityClassCount; ++i) {
         load.waiting[i].store(static_cast<int>(backlog.waiting[i]), std::memory_order_relaxed);
     }
     load.slownessPercent.store(static_cast<int>(backlog.slowness * percent),
@@ -126,11 +126,11 @@
                                  std::memory_order_relaxed);
 }
 
-void noteOrdered(const PoolEntry &pool, std::uint32_t pieces, int priority)
+void recordOrdered(const PoolEntry &pool, std::uint32_t pieces, int priority)
 {
     if (pool.pieceLoad != nullptr) {
-        pool.pieceLoad->waiting[urgencyClass(priority)].fetch_add(static_cast<int>(pieces),
-                                                                  std::memory_order_relaxed);
+        pool.pieceLoad->waiting[priorityClass(priority)].fetch_add(static_cast<int>(pieces),
+                                                                   std::memory_order_relaxed);
     }
 }
 
--- a/lib/Kernel/piecegraph.cpp
+++ b/lib/Kernel/piecegraph.cpp
@@ -63,10 +63,10 @@
     return longest;
 }
 
-std::vector<PiecePlace> PieceGraph::takeReady(const std::vector<Duration> &times)
+std::vector<PieceIndex> PieceGraph::scheduleReady(const std::vector<Duration> &times)
 {
     const Duration waiting = longestWaitingChain(times);
-    std::vector<PiecePlace> ready;
+    std::vector<PieceIndex> ready;
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         Stage &stage = m_stages[i];
         const Duration own = i < times.size() ? times[i] : Duration::zero();
@@ -82,7 +82,8 @@
     return ready;
 }
 
-bool PieceGraph::made(PiecePlace place, const std::string &handle, const std::string &dataCentre)
+bool PieceGraph::markCompleted(PieceIndex place, const std::string &handle,
+                               const std::string &dataCentre)
 {
     Piece &piece = m_stages.at(place.stage).pieces.at(place.piece);
     if (piece.state == State::Made) {
@@ -94,7 +95,7 @@
     return true;
 }
 
-void PieceGraph::returned(PiecePlace place)
+void PieceGraph::reschedule(PieceIndex place)
 {
     Piece &piece = m_stages.at(place.stage).pieces.at(place.piece);
     if (piece.state == State::GivenOut) {
@@ -114,14 +115,14 @@
     }
 }
 
-void PieceGraph::inputsLost(std::uint32_t stage)
+void PieceGraph::recomputeInputs(std::uint32_t stage)
 {
     for (const std::uint32_t before : m_stages.at(stage).spec.after) {
         remake(before);
     }
 }
 
-void PieceGraph::finalResultsLost()
+void PieceGraph::recomputeFinalResults()
 {
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         if (m_stages[i].isFinal) {
@@ -191,7 +192,7 @@
     return most;
 }
 
-std::pair<std::string, std::uint64_t> PieceGraph::mostInputBytes(std::uint32_t stage) const
+std::pair<std::string, std::uint64_t> PieceGraph::mainInputDataCentre(std::uint32_t stage) const
 {
     BytesByDataCentre bytes;
     for (const std::uint32_t before : m_stages.at(stage).spec.after) {
@@ -200,7 +201,7 @@
     return most(bytes);
 }
 
-std::pair<std::string, std::uint64_t> PieceGraph::mostFinalBytes() const
+std::pair<std::string, std::uint64_t> PieceGraph::mainResultDataCentre() const
 {
     BytesByDataCentre bytes;
     for (const Stage &stage : m_stages) {
@@ -211,7 +212,7 @@
     return most(bytes);
 }
 
-std::vector<std::string> PieceGraph::takeUnneeded()
+std::vector<std::string> PieceGraph::releaseUnneeded()
 {
     std::vector<std::string> handles;
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
@@ -238,7 +239,7 @@
     return handles;
 }
 
-std::vector<std::string> PieceGraph::takeAll()
+std::vector<std::string> PieceGraph::releaseAll()
 {
     std::vector<std::string> handles;
     for (Stage &stage : m_stages) {
@@ -252,7 +253,7 @@
     return handles;
 }
 
-bool PieceGraph::finalResultsTaken() const
+bool PieceGraph::finalResultsReleased() const
 {
     return std::any_of(m_stages.begin(), m_stages.end(), [](const Stage &stage) {
         return stage.isFinal && stage.released && !stage.pieces.empty();
--- a/lib/Kernel/piecerouter.cpp
+++ b/lib/Kernel/piecerouter.cpp
@@ -46,8 +46,8 @@
     return m_budgets.try_emplace(pool, m_budgetOptions).first->second;
 }
 
-void PieceRouter::order(const std::string &pool, const std::vector<PieceOrder> &orders,
-                        const Snapshot &snapshot)
+void PieceRouter::submit(const std::string &pool, const std::vector<PieceOrder> &orders,
+                         const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     budgetOf(pool).noteRequest(now);
@@ -56,8 +56,8 @@
         Pending pending;
         pending.pool = pool;
         pending.order = order;
-        pending.wanted = now + order.wantedIn;
-        pending.due = now + order.dueIn;
+        pending.wanted = now + order.untilObjective;
+        pending.due = now + order.untilDeadline;
         group.push_back(std::move(pending));
     }
     place(std::move(group), snapshot);
@@ -73,19 +73,19 @@
     const TimePoint now = m_clock.now();
     const auto count = static_cast<std::uint32_t>(group.size());
     const int priority = group.front().order.priority;
-    PieceOrdersTo send;
+    OutgoingPieceOrders send;
     send.orders.pool = group.front().pool;
     Duration predicted{};
     if (const PoolEntry *pool = snapshot.pool(group.front().pool)) {
         const PieceOrder &first = group.front().order;
         const PoolEntry &part =
             choosePart(snapshot, *pool,
-                       {count, priority, flowsOf(first, count), group.front().part,
-                        PieceGroup::drawOf(first.id.request, first.id.stage)},
+                       {count, priority, transfersOf(first, count), group.front().part,
+                        PieceGroup::selectionHashOf(first.id.request, first.id.stage)},
                        now);
         send.orders.pool += part.dataCentre.empty() ? "" : "/" + part.dataCentre;
-        predicted = predictPieces(part, count, priority, now);
-        noteOrdered(part, count, priority);
+        predicted = predictCompletion(part, count, priority, now);
+        recordOrdered(part, count, priority);
     }
     send.host = batcherOf(send.orders.pool, snapshot);
     for (Pending &pending : group) {
@@ -94,8 +94,8 @@
         pending.part = send.orders.pool;
         pending.orderedAt = now;
         pending.checkAt = now + predicted * patienceFactor + patience;
-        pending.order.wantedIn = pending.wanted - now;
-        pending.order.dueIn = pending.due - now;
+        pending.order.untilObjective = pending.wanted - now;
+        pending.order.untilDeadline = pending.due - now;
         send.orders.orders.push_back(pending.order);
         const PieceId id = pending.order.id;
         m_pending[id] = std::move(pending);
@@ -152,10 +152,10 @@
     }
 }
 
-void PieceRouter::take(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now)
+void PieceRouter::handle(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now)
 {
     if (const PoolEntry *pool = snapshot.poolOrPart(backlog.pool)) {
-        noteBacklog(*pool, backlog, now);
+        recordBacklog(*pool, backlog, now);
     }
 }
 
@@ -188,9 +188,9 @@
                   [now](const auto &entry) { return now - entry.second.madeAt > resultMemory; });
 }
 
-void PieceRouter::take(const PieceOutcomes &outcomes, const Snapshot &snapshot)
+void PieceRouter::handle(const PieceOutcomes &outcomes, const Snapshot &snapshot)
 {
-    take(outcomes.backlog, snapshot, m_clock.now());
+    handle(outcomes.backlog, snapshot, m_clock.now());
     for (const PieceOutcome &outcome : outcomes.outcomes) {
         if (outcome.fault == PieceFault::None) {
             m_results[outcome.handle] = {outcomes.backlog.pool, m_clock.now()};
--- a/lib/Kernel/resultroom.cpp
+++ b/lib/Kernel/resultbufferusage.cpp
@@ -1,6 +1,6 @@
-//===- resultroom.cpp - Room of results -----------------------------------===//
+//===- resultbufferusage.cpp - Result buffer usage ------------------------===//
 
-#include "harelink/Kernel/resultroom.h"
+#include "harelink/Kernel/resultbufferusage.h"
 
 #include <algorithm>
 #include <iterator>
@@ -8,7 +8,7 @@
 
 namespace harelink {
 
-ResultRoom::Results::iterator ResultRoom::erase(Results::iterator result)
+ResultBufferUsage::Results::iterator ResultBufferUsage::erase(Results::iterator result)
 {
     const auto bytes = m_bytes.find(result->second.endpoint);
     bytes->second -= result->second.bytes;
@@ -18,7 +18,7 @@
     return m_results.erase(result);
 }
 
-void ResultRoom::keep(const std::string &handle, KeptResult result)
+void ResultBufferUsage::keep(const std::string &handle, BufferedResult result)
 {
     drop(handle);
     m_bytes[result.endpoint] += result.bytes;
@@ -26,7 +26,7 @@
     m_results.emplace(handle, std::move(result));
 }
 
-void ResultRoom::drop(const std::string &handle)
+void ResultBufferUsage::drop(const std::string &handle)
 {
     const auto result = m_results.find(handle);
     if (result != m_results.end()) {
@@ -34,7 +34,7 @@
     }
 }
 
-std::vector<std::string> ResultRoom::dropOf(const std::string &host)
+std::vector<std::string> ResultBufferUsage::dropOf(const std::string &host)
 {
     std::vector<std::string> handles;
     for (auto result = m_results.begin(); result != m_results.end();) {
@@ -48,7 +48,7 @@
     return handles;
 }
 
-void ResultRoom::dropAt(const std::string &endpoint)
+void ResultBufferUsage::dropAt(const std::string &endpoint)
 {
     std::erase_if(m_results,
                   [&endpoint](const auto &entry) { return entry.second.endpoint == endpoint; });
@@ -56,7 +56,7 @@
     m_fullUntil.erase(endpoint);
 }
 
-void ResultRoom::expire(TimePoint now)
+void ResultBufferUsage::expire(TimePoint now)
 {
     if (now >= m_earliestEnd) {
         m_earliestEnd = TimePoint::max();
@@ -71,13 +71,13 @@
     std::erase_if(m_fullUntil, [now](const auto &entry) { return entry.second <= now; });
 }
 
-bool ResultRoom::isFull(const std::string &endpoint, TimePoint now) const
+bool ResultBufferUsage::isFull(const std::string &endpoint, TimePoint now) const
 {
     const auto until = m_fullUntil.find(endpoint);
     return until != m_fullUntil.end() && now < until->second;
 }
 
-std::uint64_t ResultRoom::bytesAt(const std::string &endpoint) const
+std::uint64_t ResultBufferUsage::bytesAt(const std::string &endpoint) const
 {
     const auto bytes = m_bytes.find(endpoint);
     return bytes == m_bytes.end() ? 0 : bytes->second;
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -200,9 +200,9 @@
     std::set<std::string> chosen;
     for (std::uint64_t i = 0; i < 100; ++i) {
         PieceGroup group;
-        group.flows.resultsTo = "dc2";
-        group.flows.resultBytes = 1000;
-        group.draw = PieceGroup::drawOf({7, i}, 0);
+        group.transfers.resultsDataCentre = "dc2";
+        group.transfers.resultBytes = 1000;
+        group.selectionHash = PieceGroup::selectionHashOf({7, i}, 0);
         chosen.insert(
             choosePart(*snapshot, *snapshot->pool("pieces"), group, TimePoint()).dataCentre);
     }
--- a/unittests/Kernel/endpointpausetest.cpp
+++ b/unittests/Kernel/endpointpausetest.cpp
@@ -135,20 +135,20 @@
     for (const EndpointEntry &entry : pool.endpoints) {
         recordPause(entry, seconds(3), bench.clock.now());
     }
-    const auto order = [](std::uint64_t sequence, Duration dueIn) {
+    const auto order = [](std::uint64_t sequence, Duration untilDeadline) {
         PieceOrder order;
         order.id.request = {1, sequence};
-        order.wantedIn = dueIn;
-        order.dueIn = dueIn;
+        order.untilObjective = untilDeadline;
+        order.untilDeadline = untilDeadline;
         return PieceOrders{"pieces", {order}};
     };
-    batcher.take("", order(1, seconds(2)), *bench.snapshot);
-    const std::vector<PieceOutcomesTo> outcomes = batcher.takeOutcomes(*bench.snapshot);
+    batcher.handle("", order(1, seconds(2)), *bench.snapshot);
+    const std::vector<OutgoingPieceOutcomes> outcomes = batcher.drainOutcomes(*bench.snapshot);
     LONGS_EQUAL(1, outcomes.size()); // It would be late, and is told so at once.
     CHECK(outcomes[0].outcomes.outcomes.at(0).fault == PieceFault::Late);
-    batcher.take("", order(2, seconds(10)), *bench.snapshot);
-    LONGS_EQUAL(0, batcher.takeCalls().size());
+    batcher.handle("", order(2, seconds(10)), *bench.snapshot);
+    LONGS_EQUAL(0, batcher.drainCalls().size());
     bench.clock.advance(milliseconds(3001));
     batcher.tick(*bench.snapshot);
-    LONGS_EQUAL(1, batcher.takeCalls().size());
+    LONGS_EQUAL(1, batcher.drainCalls().size());
 }
--- a/unittests/Kernel/piecebatchertest.cpp
+++ b/unittests/Kernel/piecebatchertest.cpp
@@ -22,7 +22,7 @@
     }
     void order(std::uint64_t sequence, const std::string &host = "", int priority = 0)
     {
-        batcher.take(host, {"pieces", {pieceOrder(sequence, 0, priority)}}, *snapshot);
+        batcher.handle(host, {"pieces", {pieceOrder(sequence, 0, priority)}}, *snapshot);
         collect();
     }
     void advance(Duration step)
@@ -52,10 +52,10 @@
     }
     void collect()
     {
-        for (PieceCall &call : batcher.takeCalls()) {
+        for (PieceCall &call : batcher.drainCalls()) {
             calls.push_back(std::move(call));
         }
-        for (PieceOutcomesTo &send : batcher.takeOutcomes(*snapshot)) {
+        for (OutgoingPieceOutcomes &send : batcher.drainOutcomes(*snapshot)) {
             for (PieceOutcome &outcome : send.outcomes.outcomes) {
                 outcomes.emplace_back(send.host, std::move(outcome));
             }
@@ -166,8 +166,8 @@
     Bench bench;
     bench.order(1);
     PieceOrder hasty = pieceOrder(2);
-    hasty.dueIn = milliseconds(100);
-    bench.batcher.take("", {"pieces", {hasty}}, *bench.snapshot);
+    hasty.untilDeadline = milliseconds(100);
+    bench.batcher.handle("", {"pieces", {hasty}}, *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(1, bench.outcomes.size());
     CHECK(bench.outcomes[0].second.fault == PieceFault::Late);
@@ -196,7 +196,7 @@
         for (std::uint32_t piece = 0; piece < 3; ++piece) {
             orders.orders.push_back(pieceOrder(request, piece));
         }
-        bench.batcher.take("", orders, *bench.snapshot);
+        bench.batcher.handle("", orders, *bench.snapshot);
     }
     bench.collect();
     bench.answer(bench.calls[0]);
@@ -213,19 +213,19 @@
     bench.snapshot = buildSnapshot(resources, 1, "dc1", nullptr);
     PieceOrder large = pieceOrder(1);
     large.resultBytes = 800;
-    bench.batcher.take("", {"pieces", {large}}, *bench.snapshot);
+    bench.batcher.handle("", {"pieces", {large}}, *bench.snapshot);
     bench.collect();
     bench.answer(bench.calls[0]);
     large = pieceOrder(2);
     large.resultBytes = 800;
-    bench.batcher.take("", {"pieces", {large}}, *bench.snapshot);
+    bench.batcher.handle("", {"pieces", {large}}, *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(1, bench.calls.size());
-    bench.batcher.take({"pieces", {"handle-caller-1"}}, *bench.snapshot);
+    bench.batcher.handle({"pieces", {"handle-caller-1"}}, *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(2, bench.calls.size());
     bench.advance(milliseconds(40));
-    LONGS_EQUAL(1, bench.batcher.takeFreed().size());
+    LONGS_EQUAL(1, bench.batcher.drainFreedResults().size());
 }
 
 TEST(PieceBatcher, WhatTheFirstEndpointCouldNotBeginGoesToAnother)
@@ -268,7 +268,7 @@
     Bench bench(4, 2);
     PieceOrder order = pieceOrder(1);
     order.avoid = "maker-0";
-    bench.batcher.take("", {"pieces", {order}}, *bench.snapshot);
+    bench.batcher.handle("", {"pieces", {order}}, *bench.snapshot);
     bench.collect();
     STRCMP_EQUAL("maker-1", bench.calls[0].endpoint.c_str());
 }
@@ -298,8 +298,8 @@
     const std::unique_ptr<const Snapshot> snapshot =
         buildSnapshot(pieceConfiguration(1, 4), 1, "dc1", nullptr);
     PieceBatcher batcher(clock);
-    batcher.take("", {"pieces", {pieceOrder(1)}}, *snapshot);
-    LONGS_EQUAL(1, batcher.takeCalls().size());
+    batcher.handle("", {"pieces", {pieceOrder(1)}}, *snapshot);
+    LONGS_EQUAL(1, batcher.drainCalls().size());
 }
 
 TEST(PieceBatcher, AnEndpointThatGoesOnRefusingIsAskedLessAndLess)
@@ -332,17 +332,17 @@
     Bench bench;
     bench.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
     const auto predicted = [&bench] {
-        return predictPieces(*bench.snapshot->pool("pieces"), 1, 0, bench.clock.now());
+        return predictCompletion(*bench.snapshot->pool("pieces"), 1, 0, bench.clock.now());
     };
     const Duration before = predicted();
     for (std::uint64_t i = 1; i <= 100; ++i) {
         PieceOrder order = pieceOrder(i);
         order.resultBytes = 100;
-        bench.batcher.take("", {"pieces", {order}}, *bench.snapshot);
+        bench.batcher.handle("", {"pieces", {order}}, *bench.snapshot);
         bench.collect();
         bench.advance(milliseconds(400));
         const std::string earlier = fmt::format("handle-caller-{}", i - 1);
-        bench.batcher.take(PieceFrees{"pieces", {earlier}}, *bench.snapshot);
+        bench.batcher.handle(PieceFrees{"pieces", {earlier}}, *bench.snapshot);
         bench.collect();
         LONGS_EQUAL(i, bench.calls.size());
         bench.advance(milliseconds(160));
@@ -350,7 +350,7 @@
     }
     const std::vector<PieceBacklog> told = bench.batcher.backlogs(*bench.snapshot);
     DOUBLES_EQUAL(1, told.at(0).slowness, 0.1);
-    PieceRouter::take(told.at(0), *bench.snapshot, bench.clock.now());
+    PieceRouter::handle(told.at(0), *bench.snapshot, bench.clock.now());
     CHECK(predicted() > before * 2);
     CHECK(predicted() < before * 5);
 }
@@ -366,13 +366,13 @@
         for (std::uint32_t piece = 0; piece < 16; ++piece) {
             PieceOrder order = pieceOrder(sequence, piece);
             order.inputBytes = 480'000;
-            order.inputsAt = "dc2";
+            order.inputsDataCentre = "dc2";
             // The small results are needed elsewhere.
             order.dataCentre = "dc1";
             order.resultBytes = 6'000;
             orders.orders.push_back(order);
         }
-        bench.batcher.take("", orders, *bench.snapshot);
+        bench.batcher.handle("", orders, *bench.snapshot);
         bench.collect();
     };
     for (std::uint64_t i = 1; i <= 3; ++i) {
@@ -400,10 +400,10 @@
         PieceOrder order = pieceOrder(i);
         // 16 MB count as 320 ms: worth to wait for a call of 190 ms.
         order.inputBytes = 16'000'000;
-        order.inputsAt = "dc2";
+        order.inputsDataCentre = "dc2";
         orders.orders.push_back(order);
     }
-    bench.batcher.take("", orders, *bench.snapshot);
+    bench.batcher.handle("", orders, *bench.snapshot);
     bench.collect();
     // Four are left to the nearer endpoint, and the others do not leave the second idle.
     LONGS_EQUAL(2, bench.calls.size());
@@ -431,7 +431,7 @@
         PieceOrder piece = pieceOrder(sequence);
         piece.id.request.incarnation = incarnation;
         piece.resultBytes = 1000;
-        bench.batcher.take(host, {"pieces", {piece}}, *bench.snapshot);
+        bench.batcher.handle(host, {"pieces", {piece}}, *bench.snapshot);
         bench.collect();
     };
     order("h1", 1, 7);
@@ -443,16 +443,16 @@
     order("h2", 3, 8);
     bench.advance(milliseconds(300));
     LONGS_EQUAL(2, bench.calls.size());
-    bench.batcher.forget("h1", *bench.snapshot);
+    bench.batcher.removeHost("h1", *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(3, bench.calls.size());
     bench.advance(milliseconds(50));
-    LONGS_EQUAL(2, bench.batcher.takeFreed().size());
+    LONGS_EQUAL(2, bench.batcher.drainFreedResults().size());
     // h2 ends and starts anew while its call is at work: its result is freed as it comes.
     order("h2", 4, 9);
     bench.answer(bench.calls[2]);
     bench.advance(milliseconds(50));
-    const std::vector<std::string> freed = bench.batcher.takeFreed();
+    const std::vector<std::string> freed = bench.batcher.drainFreedResults();
     LONGS_EQUAL(1, freed.size());
     STRCMP_EQUAL("handle-caller-3", freed[0].c_str());
 }
--- a/unittests/Kernel/piecefixture.h
+++ b/unittests/Kernel/piecefixture.h
@@ -48,8 +48,8 @@
     order.callerId = fmt::format("caller-{}", sequence);
     order.key = "key";
     order.priority = priority;
-    order.wantedIn = std::chrono::milliseconds(1000);
-    order.dueIn = std::chrono::milliseconds(4000);
+    order.untilObjective = std::chrono::milliseconds(1000);
+    order.untilDeadline = std::chrono::milliseconds(4000);
     return order;
 }
 
--- a/unittests/Kernel/piecegraphtest.cpp
+++ b/unittests/Kernel/piecegraphtest.cpp
@@ -13,8 +13,9 @@
 
 void makeAll(PieceGraph &graph, const std::string &prefix)
 {
-    for (const PiecePlace place : graph.takeReady()) {
-        graph.made(place, prefix + std::to_string(place.stage) + std::to_string(place.piece));
+    for (const PieceIndex place : graph.scheduleReady()) {
+        graph.markCompleted(place,
+                            prefix + std::to_string(place.stage) + std::to_string(place.piece));
     }
 }
 
@@ -25,13 +26,13 @@
 TEST(PieceGraph, AStageIsReadyWhenThoseBeforeItAreMade)
 {
     PieceGraph graph(sequence, {2, 1, 1});
-    const std::vector<PiecePlace> first = graph.takeReady();
+    const std::vector<PieceIndex> first = graph.scheduleReady();
     LONGS_EQUAL(2, first.size());
-    LONGS_EQUAL(0, graph.takeReady().size());
-    graph.made(first[0], "x");
-    LONGS_EQUAL(0, graph.takeReady().size());
-    graph.made(first[1], "y");
-    LONGS_EQUAL(1, graph.takeReady().size());
+    LONGS_EQUAL(0, graph.scheduleReady().size());
+    graph.markCompleted(first[0], "x");
+    LONGS_EQUAL(0, graph.scheduleReady().size());
+    graph.markCompleted(first[1], "y");
+    LONGS_EQUAL(1, graph.scheduleReady().size());
     LONGS_EQUAL(2, graph.inputsOf(1).size());
 }
 
@@ -43,10 +44,10 @@
     const auto stagesTaken = [](PieceGraph &graph, int ofFirst) {
         using std::chrono::milliseconds;
         std::vector<std::uint32_t> taken;
-        for (const PiecePlace place : graph.takeReady({milliseconds(ofFirst), milliseconds(300),
-                                                       milliseconds(300), milliseconds(300)})) {
+        for (const PieceIndex place : graph.scheduleReady({milliseconds(ofFirst), milliseconds(300),
+                                                           milliseconds(300), milliseconds(300)})) {
             taken.push_back(place.stage);
-            graph.made(place, "r");
+            graph.markCompleted(place, "r");
         }
         return taken;
     };
@@ -67,9 +68,9 @@
 TEST(PieceGraph, StagesThatDoNotDependRunAtOnceAndBothEndsAreResults)
 {
     PieceGraph graph(branches, {1, 1, 1});
-    LONGS_EQUAL(2, graph.takeReady().size());
-    graph.made({0, 0}, "x");
-    graph.made({1, 0}, "y");
+    LONGS_EQUAL(2, graph.scheduleReady().size());
+    graph.markCompleted({0, 0}, "x");
+    graph.markCompleted({1, 0}, "y");
     makeAll(graph, "z");
     CHECK(graph.isComplete());
     const std::vector<std::string> results = graph.finalResults();
@@ -82,13 +83,13 @@
 {
     PieceGraph graph(sequence, {2, 1, 1});
     makeAll(graph, "r");
-    LONGS_EQUAL(0, graph.takeUnneeded().size());
+    LONGS_EQUAL(0, graph.releaseUnneeded().size());
     makeAll(graph, "r");
-    LONGS_EQUAL(2, graph.takeUnneeded().size());
-    LONGS_EQUAL(0, graph.takeUnneeded().size());
+    LONGS_EQUAL(2, graph.releaseUnneeded().size());
+    LONGS_EQUAL(0, graph.releaseUnneeded().size());
     makeAll(graph, "r");
-    LONGS_EQUAL(2, graph.takeAll().size());
-    LONGS_EQUAL(0, graph.takeAll().size());
+    LONGS_EQUAL(2, graph.releaseAll().size());
+    LONGS_EQUAL(0, graph.releaseAll().size());
 }
 
 TEST(PieceGraph, LostResultsAreMadeAgainWithAllThatTheyCameFrom)
@@ -98,7 +99,7 @@
     makeAll(graph, "r");
     makeAll(graph, "r");
     CHECK(graph.isComplete());
-    graph.finalResultsLost();
+    graph.recomputeFinalResults();
     CHECK_FALSE(graph.isComplete());
     makeAll(graph, "s");
     makeAll(graph, "s");
--- a/unittests/Kernel/pieceloadtest.cpp
+++ b/unittests/Kernel/pieceloadtest.cpp
@@ -185,7 +185,7 @@
     {
         const TimePoint now = m_bench.clock.now();
         for (OrderPieces &order : std::exchange(m_bench.orders, {})) {
-            m_batcher.take("", {order.pool, std::move(order.orders)}, *m_bench.snapshot);
+            m_batcher.handle("", {order.pool, std::move(order.orders)}, *m_bench.snapshot);
         }
         for (const WithdrawPieces &withdrawal : std::exchange(m_bench.withdrawals, {})) {
             m_batcher.withdraw("", {{withdrawal.id}});
@@ -195,20 +195,20 @@
             m_frees.emplace(now + held, std::move(frees.handles));
         }
         for (; !m_frees.empty() && m_frees.begin()->first <= now; m_frees.erase(m_frees.begin())) {
-            m_batcher.take(PieceFrees{"pieces", m_frees.begin()->second}, *m_bench.snapshot);
+            m_batcher.handle(PieceFrees{"pieces", m_frees.begin()->second}, *m_bench.snapshot);
         }
         m_batcher.tick(*m_bench.snapshot);
-        for (const std::string &handle : m_batcher.takeFreed()) {
+        for (const std::string &handle : m_batcher.drainFreedResults()) {
             m_makers.free(handle);
         }
         for (const PieceCallEnded &ended : m_makers.advance(now, m_tally.noRoom)) {
             m_batcher.handle(ended, *m_bench.snapshot);
         }
-        for (PieceCall &call : m_batcher.takeCalls()) {
+        for (PieceCall &call : m_batcher.drainCalls()) {
             m_makers.take(std::move(call), now);
         }
-        for (PieceOutcomesTo &send : m_batcher.takeOutcomes(*m_bench.snapshot)) {
-            PieceRouter::take(send.outcomes.backlog, *m_bench.snapshot, now);
+        for (OutgoingPieceOutcomes &send : m_batcher.drainOutcomes(*m_bench.snapshot)) {
+            PieceRouter::handle(send.outcomes.backlog, *m_bench.snapshot, now);
             for (PieceOutcome &outcome : send.outcomes.outcomes) {
                 m_bench.pieceEnded(outcome.id, outcome.handle, outcome.fault);
             }
--- a/unittests/Kernel/piecepartstest.cpp
+++ b/unittests/Kernel/piecepartstest.cpp
@@ -42,9 +42,9 @@
         std::map<std::string, int> counts;
         for (std::uint64_t i = 0; i < 300; ++i) {
             PieceGroup group;
-            group.flows.resultsTo = wanted;
-            group.flows.resultBytes = 1000;
-            group.draw = PieceGroup::drawOf({7, i}, 0);
+            group.transfers.resultsDataCentre = wanted;
+            group.transfers.resultBytes = 1000;
+            group.selectionHash = PieceGroup::selectionHashOf({7, i}, 0);
             ++counts[choosePart(*snapshot, pool(), group, now).dataCentre];
         }
         return counts;
@@ -92,8 +92,8 @@
 {
     const Bench bench;
     PieceGroup group;
-    group.flows.resultsTo = "dc2";
-    group.flows.resultBytes = 1000;
+    group.transfers.resultsDataCentre = "dc2";
+    group.transfers.resultBytes = 1000;
     group.avoid = "pieces/dc2";
     CHECK(choosePart(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
     group.avoid.clear();
@@ -110,11 +110,11 @@
     order.resultBytes = 6'000;
     order.dataCentre = "dc1";
     order.inputBytes = 480'000;
-    order.inputsAt = "dc3";
+    order.inputsDataCentre = "dc3";
     PieceGroup group;
     group.count = 16;
-    group.flows = flowsOf(order, 16);
+    group.transfers = transfersOf(order, 16);
     STRCMP_EQUAL("dc3",
                  choosePart(*bench.snapshot, bench.pool(), group, bench.now).dataCentre.c_str());
-    CHECK(crossingCost(group.flows, "dc1") > crossingCost(group.flows, "dc3") * 50);
+    CHECK(transferCost(group.transfers, "dc1") > transferCost(group.transfers, "dc3") * 50);
 }
--- a/unittests/Kernel/pieceroutertest.cpp
+++ b/unittests/Kernel/pieceroutertest.cpp
@@ -31,24 +31,24 @@
     }
     void collect()
     {
-        for (PieceOrdersTo &send : router.takeOrders()) {
+        for (OutgoingPieceOrders &send : router.drainOrders()) {
             orders.push_back(std::move(send));
         }
-        for (PieceOutcome &outcome : router.takeOutcomes()) {
+        for (PieceOutcome &outcome : router.drainOutcomes()) {
             outcomes.push_back(std::move(outcome));
         }
     }
     void order(std::uint64_t sequence)
     {
-        router.order("pieces", {pieceOrder(sequence)}, *snapshot);
+        router.submit("pieces", {pieceOrder(sequence)}, *snapshot);
         collect();
     }
-    void settle(const PieceOrdersTo &send, const std::string &handle, PieceFault fault)
+    void settle(const OutgoingPieceOrders &send, const std::string &handle, PieceFault fault)
     {
         PieceOutcomes message;
         message.backlog.pool = send.orders.pool;
         message.outcomes.push_back({send.orders.orders[0].id, "maker-0", handle, fault});
-        router.take(message, *snapshot);
+        router.handle(message, *snapshot);
         collect();
     }
     void advance(Duration step)
@@ -62,7 +62,7 @@
     Membership membership{clock, "h1", "127.0.0.1:1", "dc1", 4};
     std::unique_ptr<const Snapshot> snapshot;
     PieceRouter router{clock, membership, {}};
-    std::vector<PieceOrdersTo> orders;
+    std::vector<OutgoingPieceOrders> orders;
     std::vector<PieceOutcome> outcomes;
 };
 
@@ -79,7 +79,7 @@
     LONGS_EQUAL(1, bench.outcomes.size());
     STRCMP_EQUAL("a", bench.outcomes[0].handle.c_str());
     // The second result is nobody's and is freed.
-    const auto frees = bench.router.takeFrees();
+    const auto frees = bench.router.drainFrees();
     LONGS_EQUAL(1, frees.size());
     STRCMP_EQUAL("b", frees[0].second.handles[0].c_str());
 }
@@ -132,8 +132,8 @@
     message.content = heartbeat;
     membership.recordMessage(message);
     PieceRouter router(clock, membership, {});
-    router.order("pieces", {pieceOrder(2)}, *bench.snapshot);
-    CHECK(router.takeOrders()[0].host == bench.orders[0].host);
+    router.submit("pieces", {pieceOrder(2)}, *bench.snapshot);
+    CHECK(router.drainOrders()[0].host == bench.orders[0].host);
 }
 
 TEST(PieceRouter, WhatMayNotBeOrderedAgainIsWaitedFor)
@@ -141,16 +141,16 @@
     // No repeat is allowed: the one order under way is all there is, and may only be slow.
     Bench bench;
     PieceRouter router(bench.clock, bench.membership, {0, 0, milliseconds(10'000)});
-    router.order("pieces", {pieceOrder(1)}, *bench.snapshot);
-    const PieceOrdersTo order = router.takeOrders()[0];
+    router.submit("pieces", {pieceOrder(1)}, *bench.snapshot);
+    const OutgoingPieceOrders order = router.drainOrders()[0];
     bench.clock.advance(milliseconds(2500));
     router.tick(*bench.snapshot);
-    CHECK(router.takeOrders().empty());
-    CHECK(router.takeOutcomes().empty());
+    CHECK(router.drainOrders().empty());
+    CHECK(router.drainOutcomes().empty());
     PieceOutcomes message;
     message.outcomes.push_back({order.orders.orders[0].id, "maker-0", "a", PieceFault::None});
-    router.take(message, *bench.snapshot);
-    LONGS_EQUAL(1, router.takeOutcomes().size());
+    router.handle(message, *bench.snapshot);
+    LONGS_EQUAL(1, router.drainOutcomes().size());
 }
 
 namespace {
--- a/unittests/Kernel/proxiedtest.cpp
+++ b/unittests/Kernel/proxiedtest.cpp
@@ -252,7 +252,7 @@
     bench.fail(bench.sends[0], SendEvidence::Sent);
     LONGS_EQUAL(1, bench.sends.size());
     LONGS_EQUAL(2, bench.orders.size());
-    CHECK(bench.orders[1].orders[0].dueIn > milliseconds(1000));
+    CHECK(bench.orders[1].orders[0].untilDeadline > milliseconds(1000));
     bench.advance(milliseconds(200));
     CHECK(bench.answers.empty());
     bench.pieceEnded(bench.orders[1].orders[0].id, "b");
@@ -305,7 +305,7 @@
     CHECK(!bench.orders.empty());
     CHECK(!bench.answers.empty());
     for (const OrderPieces &order : bench.orders) {
-        LONGS_EQUAL(urgencyClassCount - 1, urgencyClass(order.orders[0].priority));
+        LONGS_EQUAL(priorityClassCount - 1, priorityClass(order.orders[0].priority));
     }
 }
 
@@ -354,7 +354,7 @@
     bench.arrive("/talk/pieces/1", "key-1", {1}, 0, milliseconds(2800));
     LONGS_EQUAL(11, bench.orders.size());
     LONGS_EQUAL(0, bench.orders[9].orders[0].priority);
-    LONGS_EQUAL(urgencyClassCount - 1, urgencyClass(bench.orders[10].orders[0].priority));
+    LONGS_EQUAL(priorityClassCount - 1, priorityClass(bench.orders[10].orders[0].priority));
     // Where places are short, it is told so at once.
     bench.snapshot->pool("pieces")->pieceLoad->waiting[0] = 4;
     bench.arrive("/talk/pieces/1", "key-1", {1}, 0, milliseconds(2800));
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -184,7 +184,7 @@
     ControlBench bench;
     PieceCall call;
     call.endpoint = "e1";
-    call.basis.pool = "engines";
+    call.stats.pool = "engines";
     for (std::uint32_t i = 0; i < 4; ++i) {
         PieceOrder order;
         order.id = {{i < 2 ? 3U : 1U, 1}, 0, i};
--- a/unittests/Kernel/resultroomtest.cpp
+++ b/unittests/Kernel/resultbufferusagetest.cpp
@@ -1,6 +1,6 @@
-//===- resultroomtest.cpp - Tests of the room of results ------------------===//
+//===- resultbufferusagetest.cpp - Tests of the result buffer usage -------===//
 
-#include "harelink/Kernel/resultroom.h"
+#include "harelink/Kernel/resultbufferusage.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -9,17 +9,17 @@
 using namespace harelink;
 using std::chrono::milliseconds;
 
-TEST_GROUP(ResultRoom)
+TEST_GROUP(ResultBufferUsage)
 {
     const TimePoint begin = TimePoint(std::chrono::seconds(100));
-    KeptResult result(const std::string &endpoint, const std::string &host) const
+    BufferedResult result(const std::string &endpoint, const std::string &host) const
     {
         return {endpoint, 1000, begin + milliseconds(4000), host};
     }
-    ResultRoom room;
+    ResultBufferUsage room;
 };
 
-TEST(ResultRoom, AResultTakesRoomUntilItIsFreedOrItsLifeEnds)
+TEST(ResultBufferUsage, AResultTakesRoomUntilItIsFreedOrItsLifeEnds)
 {
     room.keep("a", result("e1", "h1"));
     room.keep("b", result("e1", "h1"));
@@ -36,7 +36,7 @@
     LONGS_EQUAL(0, room.bytesAt("e2"));
 }
 
-TEST(ResultRoom, AResultThatIsToldTwiceTakesRoomOnce)
+TEST(ResultBufferUsage, AResultThatIsToldTwiceTakesRoomOnce)
 {
     room.keep("a", result("e1", "h1"));
     room.keep("a", result("e1", "h1"));
@@ -45,7 +45,7 @@
     LONGS_EQUAL(0, room.bytesAt("e1"));
 }
 
-TEST(ResultRoom, WhatOneDaemonOrderedIsDroppedAlone)
+TEST(ResultBufferUsage, WhatOneDaemonOrderedIsDroppedAlone)
 {
     room.keep("a", result("e1", "h1"));
     room.keep("b", result("e1", "h2"));
@@ -55,9 +55,9 @@
     LONGS_EQUAL(0, room.bytesAt("e2"));
 }
 
-TEST(ResultRoom, AnEndpointWithoutRoomIsFullForAWhile)
+TEST(ResultBufferUsage, AnEndpointWithoutRoomIsFullForAWhile)
 {
-    room.noteFull("e1", begin + milliseconds(150));
+    room.recordBufferFull("e1", begin + milliseconds(150));
     CHECK(room.isFull("e1", begin + milliseconds(149)));
     CHECK_FALSE(room.isFull("e1", begin + milliseconds(150)));
     CHECK_FALSE(room.isFull("e2", begin));
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -165,12 +165,12 @@
     PieceOrders orders;
     orders.pool = "pieces";
     orders.orders = {pieceOrder(1, 0), pieceOrder(1, 1)};
-    batcher.take("", orders, *snapshot);
+    batcher.handle("", orders, *snapshot);
     batcher.tick(*snapshot);
-    LONGS_EQUAL(1, batcher.takeCalls().size());
+    LONGS_EQUAL(1, batcher.drainCalls().size());
     batcher.endpointEnded("maker-0", *snapshot);
     std::size_t failed = 0;
-    for (const PieceOutcomesTo &send : batcher.takeOutcomes(*snapshot)) {
+    for (const OutgoingPieceOutcomes &send : batcher.drainOutcomes(*snapshot)) {
         for (const PieceOutcome &outcome : send.outcomes.outcomes) {
             failed += outcome.fault == PieceFault::Failed ? 1 : 0;
         }
--- a/unittests/Platform/storetest.cpp
+++ b/unittests/Platform/storetest.cpp
@@ -35,7 +35,7 @@
     first.id = {{1, 2}, 0, 4};
     first.callerId = "r-1";
     first.key = "pk";
-    first.dueIn = milliseconds(900);
+    first.untilDeadline = milliseconds(900);
     PieceOrder second = first;
     second.id.stage = 2;
     second.inputs = {"10.0.0.1:80/a"};
