--- a/include/harelink/Kernel/claimbucket.h
+++ b/include/harelink/Kernel/claimbucket.h
@@ -30,7 +30,7 @@
 inline constexpr const char *claimBucketKind = "ClaimBucketV1x4";
 
 /// The largest answer that is kept for retries, in bytes.
-inline constexpr std::size_t largestKeptAnswer = 4096;
+inline constexpr std::size_t maxStoredAnswerBytes = 4096;
 
 /// What is known of one idempotency key.
 struct ClaimRecord
@@ -44,7 +44,7 @@
     std::string answer;         ///< With Done.
     bool answerDropped = false; ///< Done, but the answer was too large to keep.
     /// Claimants that gave up: a claim of theirs that comes late is not written.
-    std::vector<RequestId> givenUp;
+    std::vector<RequestId> releasedClaimants;
 
     bool operator==(const ClaimRecord &) const = default;
 };
--- a/include/harelink/Kernel/claimledger.h
+++ b/include/harelink/Kernel/claimledger.h
@@ -64,7 +64,7 @@
     std::uint64_t reads = 0;
     std::uint64_t updates = 0;
     std::uint64_t conflicts = 0;
-    std::uint64_t silences = 0;
+    std::uint64_t unansweredCalls = 0;
     std::uint64_t granted = 0;
     std::uint64_t operations = 0;
 };
@@ -77,10 +77,10 @@
     /// The live host that runs as an incarnation, empty for this host; nothing
     /// where none is known to live. A wrong answer costs a caller its wait, never
     /// a promise.
-    using HostOf = std::function<std::optional<std::string>(Incarnation)>;
+    using HostLookup = std::function<std::optional<std::string>(Incarnation)>;
 
     /// \param clock outlives the ledger.
-    BasicClaimLedger(const Clock &clock, HostOf hostOf, ClaimLedgerOptions options);
+    BasicClaimLedger(const Clock &clock, HostLookup hostOf, ClaimLedgerOptions options);
 
     /// Takes in a claim of \p host; empty for this host.
     void claim(const ClaimRequest &request, const std::string &host);
@@ -89,7 +89,7 @@
     /// Says whether this host is the soft owner of \p bucket. An owner looks after
     /// its bucket: it reads it now and then and reminds claimants of their grants,
     /// so that one whose grant was lost on its way gives it back.
-    void own(std::size_t bucket, bool owned) { m_buckets[bucket].owned = owned; }
+    void setOwned(std::size_t bucket, bool owned) { m_buckets[bucket].owned = owned; }
     /// Makes the calls that are due.
     void tick(std::vector<PlatformCall> &calls, std::uint64_t &nextCallId);
     /// Takes in the result of a call; false where it is not of this ledger.
@@ -164,7 +164,7 @@
                const std::string &answer);
 
     const Clock &m_clock;
-    HostOf m_hostOf;
+    HostLookup m_hostLookup;
     ClaimLedgerOptions m_options;
     std::array<Bucket, claimBucketCount> m_buckets;
     std::vector<ClaimReply> m_replies;
--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -43,9 +43,10 @@
 } // namespace claimledger
 
 template <GuardPolicy G>
-BasicClaimLedger<G>::BasicClaimLedger(const Clock &clock, HostOf hostOf, ClaimLedgerOptions options)
+BasicClaimLedger<G>::BasicClaimLedger(const Clock &clock, HostLookup hostOf,
+                                      ClaimLedgerOptions options)
     : m_clock(clock)
-    , m_hostOf(std::move(hostOf))
+    , m_hostLookup(std::move(hostOf))
     , m_options(options)
 {
     for (Bucket &bucket : m_buckets) {
@@ -114,7 +115,7 @@
         reply(request, host, ClaimVerdict::Unavailable, {});
         return;
     }
-    bucket.pending.push_back({request, host, m_clock.now() + request.patience, false});
+    bucket.pending.push_back({request, host, m_clock.now() + request.timeout, false});
 }
 
 template <GuardPolicy G>
@@ -138,7 +139,7 @@
 {
     const auto found = records.find(request.key);
     const bool absent = found == records.end();
-    if (!absent && claimledger::contains(found->second.givenUp, request.claimant)) {
+    if (!absent && claimledger::contains(found->second.releasedClaimants, request.claimant)) {
         // A copy of a claim that was given up meanwhile.
         return {ClaimVerdict::Unavailable, {}};
     }
@@ -176,7 +177,7 @@
 template <GuardPolicy G>
 auto BasicClaimLedger<G>::apply(const ClaimFinish &finish, ClaimRecords &records) const -> Applied
 {
-    if (finish.end == ClaimEnd::Released) {
+    if (finish.outcome == ClaimOutcome::Released) {
         release(finish, records);
         return {};
     }
@@ -187,10 +188,10 @@
     }
     ClaimRecord &record = found->second;
     record.changedAt = m_clock.wallNow();
-    switch (finish.end) {
-    case ClaimEnd::Done:
+    switch (finish.outcome) {
+    case ClaimOutcome::Done:
         record.state = ClaimRecord::State::Done;
-        record.answerDropped = finish.answer.size() > largestKeptAnswer;
+        record.answerDropped = finish.answer.size() > maxStoredAnswerBytes;
         if (!record.answerDropped) {
             record.answer = finish.answer;
         }
@@ -217,12 +218,12 @@
     }
     const bool open =
         record.state == ClaimRecord::State::Claimed || record.state == ClaimRecord::State::Released;
-    if (!open || claimledger::contains(record.givenUp, finish.claimant)) {
+    if (!open || claimledger::contains(record.releasedClaimants, finish.claimant)) {
         return;
     }
-    record.givenUp.push_back(finish.claimant);
-    if (record.givenUp.size() > claimledger::mostGivenUp) {
-        record.givenUp.erase(record.givenUp.begin());
+    record.releasedClaimants.push_back(finish.claimant);
+    if (record.releasedClaimants.size() > claimledger::mostGivenUp) {
+        record.releasedClaimants.erase(record.releasedClaimants.begin());
     }
 }
 
@@ -385,8 +386,8 @@
     case PlatformOutcome::Ok:
         commit(bucket, result.version);
         return;
-    case PlatformOutcome::Silent:
-        ++m_counters.silences;
+    case PlatformOutcome::Unanswered:
+        ++m_counters.unansweredCalls;
         if (!G::settlesByVersion) {
             commit(bucket, bucket.version);
             return;
@@ -489,8 +490,8 @@
 void BasicClaimLedger<G>::backOff(Bucket &bucket, PlatformOutcome outcome)
 {
     ++bucket.failures;
-    bucket.down =
-        outcome != PlatformOutcome::Silent || bucket.failures >= claimledger::silencesOfAnOutage;
+    bucket.down = outcome != PlatformOutcome::Unanswered
+                  || bucket.failures >= claimledger::silencesOfAnOutage;
     bucket.backOff = std::clamp<Duration>(bucket.backOff * 2, claimledger::firstBackOff,
                                           claimledger::longestBackOff);
     bucket.notBefore = m_clock.now() + (bucket.down ? bucket.backOff : Duration::zero());
@@ -537,7 +538,7 @@
 template <GuardPolicy G>
 bool BasicClaimLedger<G>::isLive(Incarnation incarnation) const
 {
-    return m_hostOf(incarnation).has_value();
+    return m_hostLookup(incarnation).has_value();
 }
 
 /// Grants old claims again. A claimant that runs ignores it; one that gave up
@@ -551,7 +552,7 @@
         if (record.state != ClaimRecord::State::Claimed || record.changedAt > oldest) {
             continue;
         }
-        if (const std::optional<std::string> host = m_hostOf(record.claimant.incarnation)) {
+        if (const std::optional<std::string> host = m_hostLookup(record.claimant.incarnation)) {
             m_replies.push_back({*host, {record.claimant, key, ClaimVerdict::Granted, {}}});
         }
     }
--- a/include/harelink/Kernel/claimrouter.h
+++ b/include/harelink/Kernel/claimrouter.h
@@ -33,9 +33,9 @@
     /// Takes in how an own request ended.
     void finish(const ClaimFinish &finish);
     /// Takes in a decision of a peer, or of the own ledger.
-    void decided(const ClaimDecision &decision, bool byPeer);
+    void handleDecision(const ClaimDecision &decision, bool byPeer);
     /// Takes in that an end is written.
-    void finished(const RequestId &claimant);
+    void handleFinished(const RequestId &claimant);
     /// Asks again, or elsewhere, where no answer came.
     void tick();
 
@@ -45,7 +45,7 @@
     /// Whether everything that was asked is answered.
     [[nodiscard]] bool idle() const { return m_claims.empty() && m_finishes.empty(); }
     /// How many claims went to the own ledger because the owner did not answer.
-    [[nodiscard]] std::uint64_t detours() const { return m_detours; }
+    [[nodiscard]] std::uint64_t localFallbacks() const { return m_localFallbacks; }
 
 private:
     /// Something that was sent to an owner and is not answered yet.
@@ -73,7 +73,7 @@
     std::map<RequestId, Pending<ClaimFinish>> m_finishes;
     std::vector<PeerSend> m_sends;
     std::vector<ClaimDecision> m_decisions;
-    std::uint64_t m_detours = 0;
+    std::uint64_t m_localFallbacks = 0;
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/claimrouterimpl.h
+++ b/include/harelink/Kernel/claimrouterimpl.h
@@ -68,7 +68,7 @@
     const std::string address = m_membership.addressOf(owner);
     const bool own = owner == m_membership.host() || address.empty();
     if (own || pending.tries >= claimrouter::mostTries) {
-        m_detours += own ? 0 : 1;
+        m_localFallbacks += own ? 0 : 1;
         pending.direct = true;
         hand(pending.what);
         return;
@@ -88,7 +88,7 @@
     }
     Pending<ClaimRequest> &pending = m_claims[request.claimant];
     pending.what = request;
-    pending.giveUpAt = m_clock.now() + request.patience;
+    pending.giveUpAt = m_clock.now() + request.timeout;
     send(pending);
 }
 
@@ -115,7 +115,7 @@
 }
 
 template <GuardPolicy G>
-void BasicClaimRouter<G>::decided(const ClaimDecision &decision, bool byPeer)
+void BasicClaimRouter<G>::handleDecision(const ClaimDecision &decision, bool byPeer)
 {
     const auto found = m_claims.find(decision.claimant);
     const bool known = found != m_claims.end();
@@ -142,7 +142,7 @@
 }
 
 template <GuardPolicy G>
-void BasicClaimRouter<G>::finished(const RequestId &claimant)
+void BasicClaimRouter<G>::handleFinished(const RequestId &claimant)
 {
     m_finishes.erase(claimant);
 }
--- a/include/harelink/Kernel/claims.h
+++ b/include/harelink/Kernel/claims.h
@@ -20,9 +20,9 @@
 struct ClaimRequest
 {
     RequestId claimant;
-    Hash128 key;         ///< Of account, pipeline and idempotency key.
-    Hash128 digest;      ///< Of the method, path and body.
-    Duration patience{}; ///< How long the claimant waits; a length, since hosts share no clock.
+    Hash128 key;        ///< Of account, pipeline and idempotency key.
+    Hash128 digest;     ///< Of the method, path and body.
+    Duration timeout{}; ///< How long the claimant waits; a length, since hosts share no clock.
 };
 
 /// What became of a claim request.
@@ -48,7 +48,7 @@
 };
 
 /// How a claimant ended.
-enum class ClaimEnd {
+enum class ClaimOutcome {
     Done,      ///< It ran; the answer is kept for retries.
     Released,  ///< No byte was sent and none will be; the key may be claimed again.
     Abandoned, ///< It may have run and will not be run again.
@@ -59,7 +59,7 @@
 {
     RequestId claimant;
     Hash128 key;
-    ClaimEnd end = ClaimEnd::Abandoned;
+    ClaimOutcome outcome = ClaimOutcome::Abandoned;
     std::string answer; ///< With Done.
 };
 
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -280,7 +280,7 @@
 {
     m_callId = 0;
     m_connected =
-        result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Silent;
+        result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Unanswered;
     m_heardAt = m_connected ? m_askedAt : m_heardAt;
     if (result.outcome == PlatformOutcome::Gone) {
         m_listNext = true;
--- a/include/harelink/Kernel/controlmachine.h
+++ b/include/harelink/Kernel/controlmachine.h
@@ -14,7 +14,7 @@
 #include "harelink/Kernel/coldstart.h"
 #include "harelink/Kernel/configgossip.h"
 #include "harelink/Kernel/configmachine.h"
-#include "harelink/Kernel/crashwatch.h"
+#include "harelink/Kernel/crashdetector.h"
 #include "harelink/Kernel/endpointlimits.h"
 #include "harelink/Kernel/membership.h"
 #include "harelink/Kernel/peerdemand.h"
@@ -89,7 +89,7 @@
     /// The connection of a call of pieces ended in the middle: if its endpoint has ended, all
     /// requests that have a piece in it are suspects.
     void handleBrokenPieceCall(const PieceCall &call, TimePoint sentAt);
-    void handle(const EndpointProbed &event) { m_crashes.handle(event); }
+    void handle(const EndpointProbeResult &event) { m_crashes.handle(event); }
     void handle(const EndpointLimitStated &event);
     void handle(const RequestCleared &event) { m_crashes.handle(event); }
     /// Own use since the last call, for the next heartbeats.
@@ -129,7 +129,7 @@
     /// This daemon's parts of what endpoints with rate limits accept.
     [[nodiscard]] RateShares rateShares() const;
     [[nodiscard]] const ClaimLedgerCounters &claimCounters() const { return m_ledger.counters(); }
-    [[nodiscard]] std::uint64_t claimDetours() const { return m_router.detours(); }
+    [[nodiscard]] std::uint64_t claimDetours() const { return m_router.localFallbacks(); }
     [[nodiscard]] bool connected() const;
     /// Until when changes of endpoints reach this daemon, unless its next turn is late: the
     /// platform answers it, or a peer of its data centre that watches for it. After a
@@ -180,7 +180,7 @@
     BasicConfigGossip<G> m_gossip;
     BasicClaimLedger<G> m_ledger;
     BasicClaimRouter<G> m_router;
-    CrashWatch m_crashes;
+    CrashDetector m_crashes;
     std::uint64_t m_nextCallId = 1;
     std::uint64_t m_hostListCall = 0;
     TimePoint m_startedAt;
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -183,7 +183,7 @@
             return std::holds_alternative<DataCentreDrainSpec>(resource.spec);
         });
     }
-    for (Resource &resource : m_crashes.undeclared()) {
+    for (Resource &resource : m_crashes.unpublished()) {
         all.push_back(std::move(resource));
     }
     return all;
@@ -230,7 +230,7 @@
          replies = m_ledger.takeReplies()) {
         for (const ClaimReply &reply : replies) {
             if (reply.host.empty()) {
-                m_router.decided(reply.decision, false);
+                m_router.handleDecision(reply.decision, false);
             } else {
                 sendTo(reply.host, reply.decision);
             }
@@ -238,7 +238,7 @@
     }
     for (const FinishReply &reply : m_ledger.takeFinished()) {
         if (reply.host.empty()) {
-            m_router.finished(reply.claimant);
+            m_router.handleFinished(reply.claimant);
         } else {
             sendTo(reply.host, ClaimFinished{reply.claimant});
         }
@@ -281,7 +281,8 @@
     if (m_keepsClaims && m_membership.listsVersion() != m_ownedAtVersion) {
         m_ownedAtVersion = m_membership.listsVersion();
         for (std::size_t i = 0; i < claimBucketCount; ++i) {
-            m_ledger.own(i, preferredOwner(i, m_membership.candidates()) == m_membership.host());
+            m_ledger.setOwned(i,
+                              preferredOwner(i, m_membership.candidates()) == m_membership.host());
         }
     }
     m_router.tick();
@@ -384,7 +385,7 @@
 void BasicControlMachine<G>::handle(const PlatformResult &result)
 {
     const bool answered =
-        result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Silent;
+        result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Unanswered;
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
         watcher.recordPlatformAnswer(answered);
     }
@@ -532,7 +533,7 @@
     (void)message;
     // A decision for the incarnation before this one is nobody's.
     if (content.claimant.incarnation == m_membership.incarnation()) {
-        m_router.decided(content, true);
+        m_router.handleDecision(content, true);
     }
 }
 
@@ -546,7 +547,7 @@
 void BasicControlMachine<G>::handle(const PeerMessage &message, const ClaimFinished &content)
 {
     (void)message;
-    m_router.finished(content.claimant);
+    m_router.handleFinished(content.claimant);
 }
 
 template <GuardPolicy G>
--- a/include/harelink/Kernel/crashconfirmer.h
+++ b/include/harelink/Kernel/crashconfirmer.h
@@ -26,7 +26,7 @@
     /// Takes in a broken call.
     void add(BrokenCall call);
     /// Takes in what a probe met.
-    void handle(const EndpointProbed &event);
+    void handle(const EndpointProbeResult &event);
     /// The probes to make.
     [[nodiscard]] std::vector<EndpointProbe> takeProbes() { return std::exchange(m_probes, {}); }
     /// The calls under which an endpoint has ended.
--- a/include/harelink/Kernel/crashcounter.h
+++ b/include/harelink/Kernel/crashcounter.h
@@ -37,8 +37,9 @@
 
     /// Takes in that \p endpoint ended under a request; gives the endpoints that ended under
     /// such requests where they are enough to tell, and nothing otherwise.
-    [[nodiscard]] std::vector<std::string> note(const Hash128 &digest, const std::string &endpoint,
-                                                TimePoint sentAt, TimePoint brokeAt);
+    [[nodiscard]] std::vector<std::string> recordCrash(const Hash128 &digest,
+                                                       const std::string &endpoint,
+                                                       TimePoint sentAt, TimePoint brokeAt);
     /// Such a request ran to a good end, or what it did is no longer held against it.
     void clear(const Hash128 &digest) { m_suspects.erase(digest); }
     /// How many requests are held in suspicion.
--- a/include/harelink/Kernel/crashwatch.h
+++ b/include/harelink/Kernel/crashdetector.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/crashwatch.h - Requests that end endpoints *- C++ -*-===//
+//===- harelink/Kernel/crashdetector.h - Requests that end endpoints *- C++ -*-===//
 ///
 /// \file
 /// Notices requests that crash whatever runs them, over their copies and over hosts, and
@@ -14,13 +14,13 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_CRASHWATCH_H
-#define HARELINK_KERNEL_CRASHWATCH_H
+#ifndef HARELINK_KERNEL_CRASHDETECTOR_H
+#define HARELINK_KERNEL_CRASHDETECTOR_H
 
 #include "harelink/Kernel/crashconfirmer.h"
 #include "harelink/Kernel/crashcounter.h"
 #include "harelink/Kernel/membership.h"
-#include "harelink/Kernel/quarantinebook.h"
+#include "harelink/Kernel/quarantinepublisher.h"
 
 #include <map>
 #include <string>
@@ -38,20 +38,20 @@
 };
 
 /// The watch of one daemon.
-class CrashWatch
+class CrashDetector
 {
 public:
     /// All references outlive the watch.
-    CrashWatch(const Clock &clock, const Membership &membership, const std::string &quarantineKind,
-               std::chrono::milliseconds quarantineLength);
+    CrashDetector(const Clock &clock, const Membership &membership,
+                  const std::string &quarantineKind, std::chrono::milliseconds quarantineLength);
 
     /// The events.
     void handle(BrokenCall call);
-    void handle(const EndpointProbed &event);
+    void handle(const EndpointProbeResult &event);
     void handle(const RequestCleared &event);
     void handle(const CrashReports &message);
     void handle(const CrashesCleared &message);
-    bool handle(const PlatformResult &result) { return m_book.handle(result); }
+    bool handle(const PlatformResult &result) { return m_publisher.handle(result); }
     void tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
               std::uint64_t &nextCallId);
 
@@ -68,8 +68,8 @@
         return std::exchange(m_decisions, {});
     }
     /// What is decided here and not seen in the platform yet.
-    [[nodiscard]] std::vector<Resource> undeclared() const { return m_book.undeclared(); }
-    [[nodiscard]] TimePoint nextTick() const { return m_book.nextTick(); }
+    [[nodiscard]] std::vector<Resource> unpublished() const { return m_publisher.unpublished(); }
+    [[nodiscard]] TimePoint nextTick() const { return m_publisher.nextTick(); }
 
 private:
     void takeConfirmed();
@@ -81,7 +81,7 @@
     const Membership &m_membership;
     CrashConfirmer m_confirmer;
     CrashCounter m_counter;
-    QuarantineBook m_book;
+    QuarantinePublisher m_publisher;
     std::vector<PeerSend> m_sends;
     std::vector<RequestSuspected> m_suspects;
     std::vector<QuarantineDecision> m_decisions;
@@ -89,4 +89,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_CRASHWATCH_H
+#endif // HARELINK_KERNEL_CRASHDETECTOR_H
--- a/include/harelink/Kernel/crashes.h
+++ b/include/harelink/Kernel/crashes.h
@@ -60,7 +60,7 @@
 [[nodiscard]] std::string_view toText(ProbeOutcome outcome);
 
 /// Event: a probe ended.
-struct EndpointProbed
+struct EndpointProbeResult
 {
     std::string endpoint;
     ProbeOutcome outcome = ProbeOutcome::Unknown;
--- a/include/harelink/Kernel/platform.h
+++ b/include/harelink/Kernel/platform.h
@@ -61,9 +61,9 @@
     Ok,
     Conflict, ///< The version was another one; nothing was written.
     NotFound,
-    Gone,    ///< Watch: the news asked for is no longer kept; list again.
-    Refused, ///< Surely not carried out: no connection, or the platform said so.
-    Silent,  ///< No answer: it may have been carried out, or may still be.
+    Gone,       ///< Watch: the news asked for is no longer kept; list again.
+    Refused,    ///< Surely not carried out: no connection, or the platform said so.
+    Unanswered, ///< No answer: it may have been carried out, or may still be.
 };
 
 /// A short name, as in "watch".
@@ -75,7 +75,7 @@
 struct PlatformResult
 {
     std::uint64_t id = 0;
-    PlatformOutcome outcome = PlatformOutcome::Silent;
+    PlatformOutcome outcome = PlatformOutcome::Unanswered;
     Version version =
         0;             ///< Put: of what was written. Get: of the object. List, Watch: of the store.
     std::string value; ///< Get.
--- a/include/harelink/Kernel/quarantinebook.h
+++ b/include/harelink/Kernel/quarantinepublisher.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/quarantinebook.h - Who is not run --------*- C++ -*-===//
+//===- harelink/Kernel/quarantinepublisher.h - Who is not run --------*- C++ -*-===//
 ///
 /// \file
 /// Declares in the platform which requests are not run any more. What is declared outlives
@@ -7,8 +7,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_QUARANTINEBOOK_H
-#define HARELINK_KERNEL_QUARANTINEBOOK_H
+#ifndef HARELINK_KERNEL_QUARANTINEPUBLISHER_H
+#define HARELINK_KERNEL_QUARANTINEPUBLISHER_H
 
 #include "harelink/Config/resources.h"
 #include "harelink/Kernel/configmachine.h"
@@ -27,13 +27,13 @@
 using ConfigEntries = std::map<std::pair<std::string, std::string>, ConfigEntry>;
 
 /// The decisions of one daemon that are not seen in the platform yet.
-class QuarantineBook
+class QuarantinePublisher
 {
 public:
     /// \param clock outlives the book.
     /// \param kind of the objects.
     /// \param length of a quarantine.
-    QuarantineBook(const Clock &clock, std::string kind, std::chrono::milliseconds length);
+    QuarantinePublisher(const Clock &clock, std::string kind, std::chrono::milliseconds length);
 
     /// Requests with \p digest are not to be run from now on.
     void add(const Hash128 &digest, const std::string &pool, std::vector<std::string> endpoints);
@@ -44,7 +44,7 @@
               std::uint64_t &nextCallId);
     [[nodiscard]] TimePoint nextTick() const;
     /// What is decided and not declared yet: in force here nevertheless.
-    [[nodiscard]] std::vector<Resource> undeclared() const;
+    [[nodiscard]] std::vector<Resource> unpublished() const;
 
 private:
     /// One decision.
@@ -70,4 +70,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_QUARANTINEBOOK_H
+#endif // HARELINK_KERNEL_QUARANTINEPUBLISHER_H
--- a/include/harelink/Kernel/requestclaimsimpl.h
+++ b/include/harelink/Kernel/requestclaimsimpl.h
@@ -28,7 +28,7 @@
     action.claimant = request.id;
     action.key = request.key;
     action.digest = hash128(fmt::format("{}\n{}", request.pipeline.name, request.body));
-    action.patience = request.deadline - m_clock.now();
+    action.timeout = request.deadline - m_clock.now();
     m_actions.emplace_back(std::move(action));
 }
 
@@ -43,7 +43,7 @@
         if (event.verdict == ClaimVerdict::Granted && request == nullptr && givenUp) {
             ++m_counters.lateGrants;
             m_actions.emplace_back(
-                ClaimFinish{event.claimant, event.key, ClaimEnd::Released, std::string()});
+                ClaimFinish{event.claimant, event.key, ClaimOutcome::Released, std::string()});
         }
         return;
     }
@@ -113,12 +113,12 @@
     ClaimFinish finish;
     finish.claimant = request.id;
     finish.key = request.key;
-    finish.end = ClaimEnd::Abandoned;
+    finish.outcome = ClaimOutcome::Abandoned;
     if (outcome == Outcome::Completed) {
-        finish.end = ClaimEnd::Done;
+        finish.outcome = ClaimOutcome::Done;
         finish.answer = answer;
     } else if (outcome == Outcome::NotRun) {
-        finish.end = ClaimEnd::Released;
+        finish.outcome = ClaimOutcome::Released;
     }
     m_actions.emplace_back(std::move(finish));
 }
--- a/lib/Adapters/peercodec.cpp
+++ b/lib/Adapters/peercodec.cpp
@@ -255,7 +255,7 @@
         write(from.claimant, *to.mutable_claimant());
         write(from.key, *to.mutable_key());
         write(from.digest, *to.mutable_digest());
-        to.set_patience_micros(toMicros(from.patience));
+        to.set_patience_micros(toMicros(from.timeout));
     }
     void operator()(const ClaimDecision &from) const
     {
@@ -270,7 +270,7 @@
         wire::ClaimFinish &to = *m_message.mutable_claim_finish();
         write(from.claimant, *to.mutable_claimant());
         write(from.key, *to.mutable_key());
-        to.set_end(static_cast<std::uint32_t>(from.end));
+        to.set_end(static_cast<std::uint32_t>(from.outcome));
         to.set_answer(from.answer);
     }
     void operator()(const ClaimFinished &from) const
@@ -455,11 +455,11 @@
     }
     case wire::PeerMessage::kClaimFinish: {
         const wire::ClaimFinish &finish = from.claim_finish();
-        if (finish.end() > static_cast<std::uint32_t>(ClaimEnd::Abandoned)) {
+        if (finish.end() > static_cast<std::uint32_t>(ClaimOutcome::Abandoned)) {
             return false;
         }
         to.content = ClaimFinish{read(finish.claimant()), read(finish.key()),
-                                 static_cast<ClaimEnd>(finish.end()), finish.answer()};
+                                 static_cast<ClaimOutcome>(finish.end()), finish.answer()};
         return true;
     }
     case wire::PeerMessage::kClaimFinished:
--- a/lib/Adapters/platformclient.cpp
+++ b/lib/Adapters/platformclient.cpp
@@ -65,10 +65,10 @@
     case statusUnavailable:
         return PlatformOutcome::Refused;
     case 0:
-        return result.sent ? PlatformOutcome::Silent : PlatformOutcome::Refused;
+        return result.sent ? PlatformOutcome::Unanswered : PlatformOutcome::Refused;
     default:
         // A server's fault leaves open whether the call took effect.
-        return PlatformOutcome::Silent;
+        return PlatformOutcome::Unanswered;
     }
 }
 
@@ -121,7 +121,7 @@
         readBody(nlohmann::json::parse(http.body), result);
     } catch (const nlohmann::json::exception &) {
         // An answer that cannot be read is as good as none.
-        result.outcome = PlatformOutcome::Silent;
+        result.outcome = PlatformOutcome::Unanswered;
     }
     return result;
 }
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -339,7 +339,7 @@
             .field("endpoint", probe.endpoint)
             .field("outcome", toText(outcome))
             .field("detail", result.error);
-        m_machine.handle(EndpointProbed{probe.endpoint, outcome});
+        m_machine.handle(EndpointProbeResult{probe.endpoint, outcome});
         carryOut();
     });
 }
@@ -620,7 +620,7 @@
             .field("objects", result.unreadable);
     }
     const bool isTrouble = result.outcome == PlatformOutcome::Refused
-                           || result.outcome == PlatformOutcome::Silent
+                           || result.outcome == PlatformOutcome::Unanswered
                            || result.outcome == PlatformOutcome::Gone;
     if (!isTrouble) {
         return;
@@ -745,7 +745,7 @@
         counter("harelink_claim_updates_total", claims.updates);
         counter("harelink_claim_reads_total", claims.reads);
         counter("harelink_claim_conflicts_total", claims.conflicts);
-        counter("harelink_claim_silences_total", claims.silences);
+        counter("harelink_claim_silences_total", claims.unansweredCalls);
         counter("harelink_claim_detours_total", m_machine.claimDetours());
         counter("harelink_config_dropped_news_total", m_machine.config().droppedUpdates());
         counter("harelink_config_unreadable_objects_total",
--- a/lib/Kernel/claimbucket.cpp
+++ b/lib/Kernel/claimbucket.cpp
@@ -34,7 +34,7 @@
         to.set_changed_at_ms(record.changedAt.time_since_epoch().count());
         to.set_answer(record.answer);
         to.set_answer_dropped(record.answerDropped);
-        for (const RequestId &claimant : record.givenUp) {
+        for (const RequestId &claimant : record.releasedClaimants) {
             wire::RequestId &id = *to.add_given_up();
             id.set_incarnation(claimant.incarnation);
             id.set_sequence(claimant.sequence);
@@ -60,7 +60,7 @@
         record.answer = from.answer();
         record.answerDropped = from.answer_dropped();
         for (const wire::RequestId &id : from.given_up()) {
-            record.givenUp.push_back({id.incarnation(), id.sequence()});
+            record.releasedClaimants.push_back({id.incarnation(), id.sequence()});
         }
     }
     return records;
--- a/lib/Kernel/crashconfirmer.cpp
+++ b/lib/Kernel/crashconfirmer.cpp
@@ -47,7 +47,7 @@
     m_probes.push_back({endpoint, pending.probed.front().address});
 }
 
-void CrashConfirmer::handle(const EndpointProbed &event)
+void CrashConfirmer::handle(const EndpointProbeResult &event)
 {
     const auto found = m_pending.find(event.endpoint);
     if (found == m_pending.end()) {
--- a/lib/Kernel/crashcounter.cpp
+++ b/lib/Kernel/crashcounter.cpp
@@ -21,8 +21,9 @@
 
 } // namespace
 
-std::vector<std::string> CrashCounter::note(const Hash128 &digest, const std::string &endpoint,
-                                            TimePoint sentAt, TimePoint brokeAt)
+std::vector<std::string> CrashCounter::recordCrash(const Hash128 &digest,
+                                                   const std::string &endpoint, TimePoint sentAt,
+                                                   TimePoint brokeAt)
 {
     if (!m_suspects.contains(digest)) {
         makeRoom();
--- a/lib/Kernel/crashwatch.cpp
+++ b/lib/Kernel/crashdetector.cpp
@@ -1,6 +1,6 @@
-//===- crashwatch.cpp - Requests that end endpoints -----------------------===//
+//===- crashdetector.cpp - Requests that end endpoints -----------------------===//
 
-#include "harelink/Kernel/crashwatch.h"
+#include "harelink/Kernel/crashdetector.h"
 
 #include <algorithm>
 
@@ -13,29 +13,29 @@
 
 } // namespace
 
-CrashWatch::CrashWatch(const Clock &clock, const Membership &membership,
-                       const std::string &quarantineKind,
-                       std::chrono::milliseconds quarantineLength)
+CrashDetector::CrashDetector(const Clock &clock, const Membership &membership,
+                             const std::string &quarantineKind,
+                             std::chrono::milliseconds quarantineLength)
     : m_clock(clock)
     , m_membership(membership)
     , m_counter(clock)
-    , m_book(clock, quarantineKind, quarantineLength)
+    , m_publisher(clock, quarantineKind, quarantineLength)
 {
 }
 
-void CrashWatch::handle(BrokenCall call)
+void CrashDetector::handle(BrokenCall call)
 {
     m_confirmer.add(std::move(call));
     takeConfirmed();
 }
 
-void CrashWatch::handle(const EndpointProbed &event)
+void CrashDetector::handle(const EndpointProbeResult &event)
 {
     m_confirmer.handle(event);
     takeConfirmed();
 }
 
-void CrashWatch::takeConfirmed()
+void CrashDetector::takeConfirmed()
 {
     const TimePoint now = m_clock.now();
     std::map<std::string, CrashReports> byHost;
@@ -59,7 +59,7 @@
     }
 }
 
-void CrashWatch::handle(const CrashReports &message)
+void CrashDetector::handle(const CrashReports &message)
 {
     const TimePoint now = m_clock.now();
     for (const CrashReport &report : message.reports) {
@@ -67,20 +67,20 @@
     }
 }
 
-void CrashWatch::count(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt)
+void CrashDetector::count(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt)
 {
     m_suspects.push_back({report.digest});
     std::vector<std::string> ended =
-        m_counter.note(report.digest, report.endpoint, sentAt, brokeAt);
+        m_counter.recordCrash(report.digest, report.endpoint, sentAt, brokeAt);
     if (ended.empty()) {
         return;
     }
     m_counter.clear(report.digest);
-    m_book.add(report.digest, report.pool, ended);
+    m_publisher.add(report.digest, report.pool, ended);
     m_decisions.push_back({report.digest, report.pool, std::move(ended)});
 }
 
-void CrashWatch::handle(const RequestCleared &event)
+void CrashDetector::handle(const RequestCleared &event)
 {
     m_counter.clear(event.digest);
     for (const std::string &host : countersOf(event.digest)) {
@@ -88,20 +88,20 @@
     }
 }
 
-void CrashWatch::handle(const CrashesCleared &message)
+void CrashDetector::handle(const CrashesCleared &message)
 {
     for (const Hash128 &digest : message.digests) {
         m_counter.clear(digest);
     }
 }
 
-void CrashWatch::tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
-                      std::uint64_t &nextCallId)
+void CrashDetector::tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
+                         std::uint64_t &nextCallId)
 {
-    m_book.tick(declared, calls, nextCallId);
+    m_publisher.tick(declared, calls, nextCallId);
 }
 
-std::vector<std::string> CrashWatch::countersOf(const Hash128 &digest) const
+std::vector<std::string> CrashDetector::countersOf(const Hash128 &digest) const
 {
     std::vector<std::string> hosts =
         m_membership.ranked(m_membership.candidates(), "crashes/" + toHex(digest));
@@ -109,7 +109,7 @@
     return hosts;
 }
 
-void CrashWatch::send(const std::string &host, decltype(PeerMessage::content) content)
+void CrashDetector::send(const std::string &host, decltype(PeerMessage::content) content)
 {
     if (host == m_membership.host()) {
         return;
--- a/lib/Kernel/platform.cpp
+++ b/lib/Kernel/platform.cpp
@@ -36,7 +36,7 @@
         return "gone";
     case PlatformOutcome::Refused:
         return "refused";
-    case PlatformOutcome::Silent:
+    case PlatformOutcome::Unanswered:
         return "silent";
     }
     return "unknown";
--- a/lib/Kernel/quarantinebook.cpp
+++ b/lib/Kernel/quarantinepublisher.cpp
@@ -1,6 +1,6 @@
-//===- quarantinebook.cpp - Who is not run --------------------------------===//
+//===- quarantinepublisher.cpp - Who is not run --------------------------------===//
 
-#include "harelink/Kernel/quarantinebook.h"
+#include "harelink/Kernel/quarantinepublisher.h"
 
 #include <algorithm>
 
@@ -30,15 +30,15 @@
 
 } // namespace
 
-QuarantineBook::QuarantineBook(const Clock &clock, std::string kind, milliseconds length)
+QuarantinePublisher::QuarantinePublisher(const Clock &clock, std::string kind, milliseconds length)
     : m_clock(clock)
     , m_kind(std::move(kind))
     , m_length(length)
 {
 }
 
-void QuarantineBook::add(const Hash128 &digest, const std::string &pool,
-                         std::vector<std::string> endpoints)
+void QuarantinePublisher::add(const Hash128 &digest, const std::string &pool,
+                              std::vector<std::string> endpoints)
 {
     Decision decision;
     decision.spec.digest = digest;
@@ -51,7 +51,7 @@
     m_decisions.try_emplace(digest, std::move(decision));
 }
 
-bool QuarantineBook::handle(const PlatformResult &result)
+bool QuarantinePublisher::handle(const PlatformResult &result)
 {
     const auto found =
         std::find_if(m_decisions.begin(), m_decisions.end(),
@@ -69,14 +69,14 @@
     return true;
 }
 
-bool QuarantineBook::isExpired(const ConfigEntry &entry) const
+bool QuarantinePublisher::isExpired(const ConfigEntry &entry) const
 {
     const QuarantineSpec *spec = specOf(entry);
     return spec != nullptr && spec->until <= m_clock.wallNow();
 }
 
-void QuarantineBook::tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
-                          std::uint64_t &nextCallId)
+void QuarantinePublisher::tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
+                               std::uint64_t &nextCallId)
 {
     std::erase_if(m_decisions, [&](const auto &entry) {
         const auto found = declared.find({m_kind, toHex(entry.first)});
@@ -90,8 +90,8 @@
     }
 }
 
-void QuarantineBook::declare(Decision &decision, const ConfigEntries &declared,
-                             std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
+void QuarantinePublisher::declare(Decision &decision, const ConfigEntries &declared,
+                                  std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
     remove(declared, calls, nextCallId);
     PlatformCall call;
@@ -109,8 +109,8 @@
 
 /// Removes some of those that have run out or are too many. The answers are of no interest:
 /// what stays is tried again with the next decision.
-void QuarantineBook::remove(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
-                            std::uint64_t &nextCallId) const
+void QuarantinePublisher::remove(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
+                                 std::uint64_t &nextCallId) const
 {
     std::vector<std::pair<WallTime, const ConfigEntries::value_type *>> standing;
     for (auto at = declared.lower_bound({m_kind, {}});
@@ -140,7 +140,7 @@
     }
 }
 
-TimePoint QuarantineBook::nextTick() const
+TimePoint QuarantinePublisher::nextTick() const
 {
     TimePoint next = TimePoint::max();
     for (const auto &[digest, decision] : m_decisions) {
@@ -149,7 +149,7 @@
     return next;
 }
 
-std::vector<Resource> QuarantineBook::undeclared() const
+std::vector<Resource> QuarantinePublisher::unpublished() const
 {
     std::vector<Resource> resources;
     for (const auto &[digest, decision] : m_decisions) {
--- a/test/sim/fakes.cpp
+++ b/test/sim/fakes.cpp
@@ -80,7 +80,7 @@
         return;
     }
     const auto silence = [=, this] {
-        m_queue.after(clientPatience, [=] { reply(resultOf(call, PlatformOutcome::Silent)); });
+        m_queue.after(clientPatience, [=] { reply(resultOf(call, PlatformOutcome::Unanswered)); });
     };
     const bool writes = call.operation == PlatformOperation::Put;
     m_writes += writes ? 1 : 0;
--- a/test/sim/fakes.h
+++ b/test/sim/fakes.h
@@ -133,7 +133,7 @@
     {
     }
 
-    /// Carries \p call out; \p reply comes once, Silent after the client's patience.
+    /// Carries \p call out; \p reply comes once, Unanswered after the client's patience.
     void handle(const PlatformCall &call, const Reply &reply);
     /// The objects, for tests that write as operators do.
     [[nodiscard]] standin::PlatformStore &store() { return m_store; }
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -642,7 +642,7 @@
     void perform(Host &host, const EndpointProbe &probe)
     {
         const FakeEndpoint &endpoint = m_endpoints.at(probe.endpoint);
-        EndpointProbed event{probe.endpoint, ProbeOutcome::Accepted};
+        EndpointProbeResult event{probe.endpoint, ProbeOutcome::Accepted};
         if (m_cuts.isCut(host.dataCentre, endpoint.dataCentre)) {
             event.outcome = ProbeOutcome::Unknown;
         } else if (endpoint.down) {
--- a/tools/harelink/platform.cpp
+++ b/tools/harelink/platform.cpp
@@ -42,7 +42,7 @@
 
 int reportUnreachable(const PlatformResult &result)
 {
-    const char *message = result.outcome == PlatformOutcome::Silent
+    const char *message = result.outcome == PlatformOutcome::Unanswered
                               ? "does not answer; a change may or may not have been made, "
                                 "so look with 'harelink get' before trying again"
                               : "cannot be reached; nothing was changed";
--- a/unittests/Kernel/claimledgertest.cpp
+++ b/unittests/Kernel/claimledgertest.cpp
@@ -24,7 +24,7 @@
         request.claimant = {1, sequence};
         request.key = {1, 0};
         request.digest = {2, 2};
-        request.patience = std::chrono::seconds(10);
+        request.timeout = std::chrono::seconds(10);
         ledger.claim(request, {});
     }
     /// The next call that the ledger makes.
@@ -77,7 +77,7 @@
 {
     bench.claim(1);
     bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
-    bench.answer(bench.nextCall(), PlatformOutcome::Silent);
+    bench.answer(bench.nextCall(), PlatformOutcome::Unanswered);
     bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
     // It may yet arrive, so the same is written on the same version again.
     const PlatformCall again = bench.nextCall();
@@ -93,7 +93,7 @@
     bench.claim(1);
     bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
     const PlatformCall put = bench.nextCall();
-    bench.answer(put, PlatformOutcome::Silent);
+    bench.answer(put, PlatformOutcome::Unanswered);
     bench.claim(2);
     bench.answer(bench.nextCall(), PlatformOutcome::Ok, firstVersion, put.value);
     const std::vector<ClaimReply> replies = bench.ledger.takeReplies();
@@ -105,7 +105,7 @@
 TEST(ClaimLedger, OneSilenceIsNoOutage)
 {
     bench.claim(1);
-    bench.answer(bench.nextCall(), PlatformOutcome::Silent);
+    bench.answer(bench.nextCall(), PlatformOutcome::Unanswered);
     CHECK(bench.ledger.takeReplies().empty());
     bench.answer(bench.nextCall(), PlatformOutcome::Refused);
     CHECK(bench.ledger.takeReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
--- a/unittests/Kernel/configwatchertest.cpp
+++ b/unittests/Kernel/configwatchertest.cpp
@@ -90,7 +90,7 @@
 {
     Bench bench;
     bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5), Bench::object("i-2", 6)}, 7);
-    bench.answer(PlatformOutcome::Silent);
+    bench.answer(PlatformOutcome::Unanswered);
     bench.answer(PlatformOutcome::Ok,
                  {Bench::object("i-1", 9, true), Bench::object("i-2", 10, true)}, 10);
     LONGS_EQUAL(2, bench.endpoints());
--- a/unittests/Kernel/crashcountertest.cpp
+++ b/unittests/Kernel/crashcountertest.cpp
@@ -20,7 +20,7 @@
     /// A call of \p digest that was sent \p ago before now broke as its endpoint ended.
     bool end(const Hash128 &digest, const std::string &endpoint, Duration ago = milliseconds(100))
     {
-        return !counter.note(digest, endpoint, clock.now() - ago, clock.now()).empty();
+        return !counter.recordCrash(digest, endpoint, clock.now() - ago, clock.now()).empty();
     }
 
     ManualClock clock;
@@ -124,13 +124,13 @@
     CrashConfirmer confirmer;
     confirmer.add(brokenCall(innocent));
     LONGS_EQUAL(1, confirmer.takeProbes().size());
-    confirmer.handle(EndpointProbed{"e1", ProbeOutcome::Accepted});
+    confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(0, confirmer.takeConfirmed().size());
     confirmer.add(brokenCall(innocent));
-    confirmer.handle(EndpointProbed{"e1", ProbeOutcome::Unknown});
+    confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Unknown});
     LONGS_EQUAL(0, confirmer.takeConfirmed().size());
     confirmer.add(brokenCall(guilty));
-    confirmer.handle(EndpointProbed{"e1", ProbeOutcome::Refused});
+    confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
     CHECK(confirmer.takeConfirmed().at(0).digest == guilty);
 }
 
@@ -141,9 +141,9 @@
     confirmer.add(brokenCall(innocent));
     confirmer.add(brokenCall(guilty));
     LONGS_EQUAL(1, confirmer.takeProbes().size());
-    confirmer.handle(EndpointProbed{"e1", ProbeOutcome::Accepted});
+    confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(1, confirmer.takeProbes().size());
-    confirmer.handle(EndpointProbed{"e1", ProbeOutcome::Refused});
+    confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
     const std::vector<BrokenCall> confirmed = confirmer.takeConfirmed();
     LONGS_EQUAL(1, confirmed.size());
     CHECK(confirmed.at(0).digest == guilty);
--- a/unittests/Kernel/quarantinebooktest.cpp
+++ b/unittests/Kernel/quarantinepublishertest.cpp
@@ -1,6 +1,6 @@
-//===- quarantinebooktest.cpp - Tests of declared quarantines -------------===//
+//===- quarantinepublishertest.cpp - Tests of declared quarantines -------------===//
 
-#include "harelink/Kernel/quarantinebook.h"
+#include "harelink/Kernel/quarantinepublisher.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -53,7 +53,7 @@
 
     ManualClock clock;
     ConfigTable table;
-    QuarantineBook book{clock, kind, hours(24)};
+    QuarantinePublisher book{clock, kind, hours(24)};
     std::uint64_t nextCallId = 1;
     Version version = 0;
     Hash128 digest = hash128("guilty");
@@ -61,13 +61,13 @@
 
 } // namespace
 
-TEST_GROUP(QuarantineBook){};
+TEST_GROUP(QuarantinePublisher){};
 
-TEST(QuarantineBook, ADecisionIsDeclaredOnceAndForgottenWhenItIsSeen)
+TEST(QuarantinePublisher, ADecisionIsDeclaredOnceAndForgottenWhenItIsSeen)
 {
     BookBench bench;
     bench.book.add(bench.digest, "engines", {"e1", "e2", "e3"});
-    LONGS_EQUAL(1, bench.book.undeclared().size());
+    LONGS_EQUAL(1, bench.book.unpublished().size());
     const std::vector<PlatformCall> calls = bench.tick();
     LONGS_EQUAL(1, calls.size());
     LONGS_EQUAL(0, calls.at(0).ifVersion);
@@ -75,14 +75,14 @@
     bench.end(calls.at(0), PlatformOutcome::Ok);
     bench.see(calls.at(0).name, calls.at(0).value);
     LONGS_EQUAL(0, bench.tickAfter(milliseconds(10)).size());
-    LONGS_EQUAL(0, bench.book.undeclared().size());
+    LONGS_EQUAL(0, bench.book.unpublished().size());
     LONGS_EQUAL(0, bench.tickAfter(milliseconds(60'000)).size());
     const auto spec = std::get<QuarantineSpec>(bench.table.resources().at(0).spec);
     CHECK(spec.digest == bench.digest);
     LONGS_EQUAL(3, spec.endpoints.size());
 }
 
-TEST(QuarantineBook, WhileThePlatformIsAwayItIsTriedAgainAtGrowingIntervals)
+TEST(QuarantinePublisher, WhileThePlatformIsAwayItIsTriedAgainAtGrowingIntervals)
 {
     BookBench bench;
     bench.book.add(bench.digest, "engines", {"e1"});
@@ -90,15 +90,15 @@
     for (int i = 0; i < 200; ++i) {
         for (const PlatformCall &call : bench.tickAfter(milliseconds(50))) {
             ++calls;
-            bench.end(call, PlatformOutcome::Silent);
+            bench.end(call, PlatformOutcome::Unanswered);
         }
     }
     CHECK(calls >= 5);
     CHECK(calls <= 10);
-    LONGS_EQUAL(1, bench.book.undeclared().size());
+    LONGS_EQUAL(1, bench.book.unpublished().size());
 }
 
-TEST(QuarantineBook, WhatAnotherDeclaredAMomentAgoIsWaitedFor)
+TEST(QuarantinePublisher, WhatAnotherDeclaredAMomentAgoIsWaitedFor)
 {
     BookBench bench;
     bench.book.add(bench.digest, "engines", {"e1"});
@@ -112,7 +112,7 @@
     LONGS_EQUAL(0, bench.tickAfter(milliseconds(60'000)).size());
 }
 
-TEST(QuarantineBook, OneThatHasRunOutIsReplacedAndOthersAreRemoved)
+TEST(QuarantinePublisher, OneThatHasRunOutIsReplacedAndOthersAreRemoved)
 {
     BookBench bench;
     bench.seeOld("guilty", hours(25));
@@ -127,7 +127,7 @@
     LONGS_EQUAL(1, calls.at(1).ifVersion);
 }
 
-TEST(QuarantineBook, TheOldestGoWhereTheyWouldBeTooMany)
+TEST(QuarantinePublisher, TheOldestGoWhereTheyWouldBeTooMany)
 {
     BookBench bench;
     for (int i = 0; i < 1010; ++i) {
@@ -139,7 +139,7 @@
     STRCMP_EQUAL(toHex(hash128("0")).c_str(), calls.at(0).name.c_str());
 }
 
-TEST(QuarantineBook, OneThatAnOperatorLiftedMayBeDecidedAgain)
+TEST(QuarantinePublisher, OneThatAnOperatorLiftedMayBeDecidedAgain)
 {
     BookBench bench;
     bench.seeOld("guilty", hours(1));
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -54,7 +54,7 @@
     {
         const ControlOutput asked = machine.takeOutput();
         LONGS_EQUAL(1, asked.probes.size());
-        machine.handle(EndpointProbed{"e1", ProbeOutcome::Refused});
+        machine.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
         std::vector<PeerSend> reports;
         const ControlOutput output = machine.takeOutput();
         for (const PeerSend &send : output.sends) {
--- a/unittests/Kernel/requestmachinetest.cpp
+++ b/unittests/Kernel/requestmachinetest.cpp
@@ -148,7 +148,7 @@
     bench.decide(id, ClaimVerdict::Granted);
     CHECK_EQUAL(1u, bench.sends.size());
     bench.answer(bench.sends[0].call, "\"r\"");
-    CHECK(bench.finishes.at(0).end == ClaimEnd::Done);
+    CHECK(bench.finishes.at(0).outcome == ClaimOutcome::Done);
     STRCMP_EQUAL("\"r\"", bench.finishes[0].answer.c_str());
 }
 
@@ -158,11 +158,11 @@
     const RequestId id = bench.arrive("record", "drivers", "k1");
     bench.advance(milliseconds(1000));
     checkOutcome(Outcome::NotRun, bench.answers.at(0));
-    CHECK(bench.finishes.at(0).end == ClaimEnd::Released);
+    CHECK(bench.finishes.at(0).outcome == ClaimOutcome::Released);
     bench.decide(id, ClaimVerdict::Granted);
     CHECK(bench.sends.empty());
     CHECK_EQUAL(2u, bench.finishes.size());
-    CHECK(bench.finishes[1].end == ClaimEnd::Released);
+    CHECK(bench.finishes[1].outcome == ClaimOutcome::Released);
 }
 
 TEST(RequestMachine, WhatMayHaveRunIsNotSentAgain)
@@ -198,7 +198,7 @@
         bench.advance(milliseconds(50));
     }
     checkOutcome(Outcome::NotRun, bench.answers.at(0));
-    CHECK(bench.finishes.at(0).end == ClaimEnd::Released);
+    CHECK(bench.finishes.at(0).outcome == ClaimOutcome::Released);
 }
 
 TEST(RequestMachine, AnswersAtTheDeadlineAndStopsTheCall)
--- a/unittests/Kernel/streamtest.cpp
+++ b/unittests/Kernel/streamtest.cpp
@@ -138,5 +138,5 @@
     bench.collect();
     CHECK_EQUAL(0u, bench.cancels.size());
     bench.answer(bench.sends.at(0).call);
-    CHECK(bench.finishes.at(0).end == ClaimEnd::Done);
+    CHECK(bench.finishes.at(0).outcome == ClaimOutcome::Done);
 }
--- a/unittests/Platform/storetest.cpp
+++ b/unittests/Platform/storetest.cpp
@@ -114,7 +114,7 @@
 {
     PlatformCall call;
     call.operation = PlatformOperation::List;
-    CHECK(store.decode(call, ok("{]")).outcome == PlatformOutcome::Silent);
+    CHECK(store.decode(call, ok("{]")).outcome == PlatformOutcome::Unanswered);
     HttpResult refused;
     refused.status = 429;
     CHECK(store.decode(call, refused).outcome == PlatformOutcome::Refused);
