--- a/include/harelink/Kernel/membership.h
+++ b/include/harelink/Kernel/membership.h
@@ -1,10 +1,11 @@
-//===- harelink/Kernel/membership.h - Which hosts live ----------*- C++ -*-===//
+//===- harelink/Kernel/membership.h - Cluster membership --------*- C++ -*-===//
 ///
 /// \file
-/// Joins the platform's lagging host list with direct heartbeats.
+/// Tracks which hosts are live, from the platform's host list, which lags, and
+/// from heartbeats.
 ///
-/// Who lives is a hint for choosing owners and for not making callers wait. No
-/// silence of a host ever grants anybody a right to run something.
+/// Liveness is only a hint: it selects owners and avoids waits for dead hosts. A
+/// missing heartbeat never entitles another host to run a request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,130 +22,138 @@
 
 namespace harelink {
 
-/// What is known of another host.
+/// The state of another host as this daemon knows it.
 struct PeerHost
 {
-    std::string address; ///< For peers; from the host list or its own word.
+    std::string address; ///< For peers; from the host list or the host's heartbeats.
     std::string dataCentre;
-    Incarnation incarnation = 0;             ///< Of its last heartbeat; 0 before the first.
-    bool leaving = false;                    ///< Of this incarnation; never goes back to false.
-    double capacity = 1;                     ///< In cores of a processor.
-    TimePoint lastSeen;                      ///< From itself.
-    TimePoint reportedAt = TimePoint::min(); ///< Last reported to live by a relay.
+    Incarnation incarnation = 0;             ///< Of its last message; 0 before the first.
+    bool leaving = false;                    ///< Never reset to false within an incarnation.
+    double capacity = 1;                     ///< In processor cores.
+    TimePoint lastSeen;                      ///< Time of the last message from the host itself.
+    TimePoint reportedAt = TimePoint::min(); ///< When a relay last reported the host as live.
 };
 
-/// To whom a heartbeat goes.
+/// A receiver of a heartbeat.
 struct HeartbeatTarget
 {
     std::string host;
-    bool wantsSummary = false;        ///< It is to answer with a summary.
-    std::uint64_t knownHostsHash = 0; ///< As in Heartbeat.
+    bool wantsSummary = false;        ///< The receiver shall reply with summaries.
+    std::uint64_t knownHostsHash = 0; ///< See Heartbeat.
 };
 
-/// The hosts as one daemon sees them.
+/// The membership view of one daemon.
 class Membership
 {
 public:
-    /// A host is taken to live this long after a relay's report, which comes at each of its
-    /// summaries.
+    /// A host counts as live for this period after a relay reported it. Every summary of a
+    /// relay is such a report.
     static constexpr std::chrono::milliseconds reportTtl{2500};
 
-    /// \param clock outlives the membership.
+    /// \param clock must outlive the membership.
     Membership(const Clock &clock, std::string host, std::string address, std::string dataCentre,
                Incarnation incarnation);
 
-    /// Takes in the platform's host list: objects whose value is a JSON object
+    /// Merges the platform's host list: objects whose value is a JSON object
     /// with "dataCentre", "peers" and "state".
     void handleHostList(const std::vector<PlatformObject> &hosts);
-    /// Takes in that a message came from \p message's host.
+    /// Updates the state of the host that sent \p message.
     void recordMessage(const PeerMessage &message);
-    /// Takes in a relay's whole list of live hosts of \p dataCentre, or of all where that
-    /// is empty: those that it lacks are not reported to live any more.
+    /// Applies a relay's complete list of live hosts of \p dataCentre, or of all data centres
+    /// if that is empty. Hosts that are not listed no longer count as reported.
     void handleHostReports(const std::vector<HostReport> &hosts, const std::string &dataCentre);
-    /// Takes in that a relay's list is the one that was reported last.
+    /// Renews the reports of \p dataCentre's hosts after a relay confirmed its last list.
     void renewHostReports(const std::string &dataCentre);
-    /// A hash over what hostReports() tells, whatever its order.
+    /// Returns an order-independent hash over the result of hostReports().
     [[nodiscard]] std::uint64_t hostsHash(const std::string &dataCentre) const;
-    /// Hosts that are not able tell, and are told, at each so many heartbeats: 1 in a small
-    /// data centre, and more with its hosts, so that what a relay hears does not grow as they
-    /// do. It divides by what few hosts of it are able, who tell at each.
+    /// Returns the factor by which hosts without high capacity stretch the heartbeat interval,
+    /// both for what they send and for what they are sent. It is 1 in a small data centre and
+    /// rises with the number of hosts, so that the load of a relay grows more slowly than that.
+    /// The few hosts with high capacity send at each interval.
     [[nodiscard]] std::uint32_t heartbeatMultiplier() const { return m_heartbeatMultiplier; }
-    /// Whether \p peer is able; see highCapacityHosts().
+    /// Returns whether \p peer has high capacity; see highCapacityHosts().
     [[nodiscard]] bool hasHighCapacity(const PeerHost &peer) const
     {
         return hasHighCapacity(peer.capacity);
     }
-    /// Whether this host is.
+    /// Returns whether this host has high capacity.
     [[nodiscard]] bool hasHighCapacity() const { return hasHighCapacity(m_capacity); }
-    /// Whether heartbeats are due; dueHeartbeats() is then to be called.
+    /// Returns whether heartbeats are due, in which case dueHeartbeats() shall be called.
     [[nodiscard]] bool heartbeatsDue() const { return m_clock.now() >= m_nextHeartbeat; }
-    /// The heartbeats to \p targets, without what they tell.
+    /// Returns heartbeats to \p targets with only the membership fields set, and schedules
+    /// the next ones.
     std::vector<PeerSend> dueHeartbeats(const std::vector<HeartbeatTarget> &targets);
-    /// What handleHostList() of a peer reads, for this host.
+    /// Returns the value of this host's object in the platform, as handleHostList() reads it.
     [[nodiscard]] std::string ownDeclaration() const;
-    /// Whether \p declaration says of this host what ownDeclaration() would, but for which
-    /// start of it declared it.
+    /// Returns whether \p declaration equals ownDeclaration() except for the incarnation.
     [[nodiscard]] bool matchesDeclaration(const std::string &declaration) const;
-    /// Where this daemon listens for peers.
+    /// Sets the address at which this daemon listens for peers.
     void setAddress(const std::string &address) { m_address = address; }
-    /// The capacity of this host, in cores of a processor.
+    /// Sets the capacity of this host, in processor cores.
     void setCapacity(double capacity)
     {
         m_capacity = capacity;
-        forgetLists();
+        invalidateLists();
     }
     [[nodiscard]] double capacity() const { return m_capacity; }
-    /// This host is leaving; the next heartbeats say so, at once.
+    /// Marks this host as leaving and schedules heartbeats that announce it at once.
     void leave();
 
-    /// The hosts that may own a bucket, this one among them, sorted. Like the other lists it
-    /// is made anew only where hosts came, went or changed, and holds until then: a daemon
-    /// asks for them at each message. With 295 hosts, making them each time took over half of
-    /// the processor time of a start (profile of 40 daemons).
+    /// Returns the hosts that may own a bucket, sorted; includes this host. This and the other
+    /// lists are cached until a host joins, leaves or changes, since a daemon reads them at
+    /// each message: with 295 hosts, rebuilding them each time took over half of the processor
+    /// time of a start.
     [[nodiscard]] const std::vector<std::string> &candidates() const { return lists().candidates; }
-    /// Another number where the lists were made anew.
+    /// Returns a number that changes whenever the lists are rebuilt.
     [[nodiscard]] std::uint64_t listsVersion() const { return lists().version; }
-    /// The host that was heard of lately under \p incarnation; empty for this host.
+    /// Returns the live host with \p incarnation, an empty string if that is this host, and
+    /// std::nullopt if there is none.
     [[nodiscard]] std::optional<std::string> hostOf(Incarnation incarnation) const;
-    /// A message to \p host; nothing where its address is not known.
+    /// Returns a message to \p host, or std::nullopt if its address is unknown.
     [[nodiscard]] std::optional<PeerSend> messageTo(const std::string &host,
                                                     decltype(PeerMessage::content) content) const;
-    /// The address of \p host, or an empty text.
+    /// Returns the address of \p host, or an empty string if it is unknown.
     [[nodiscard]] std::string addressOf(const std::string &host) const;
-    /// The living hosts of the own data centre that stay, this one among them.
+    /// Returns the live hosts of this data centre that are not leaving; includes this host.
     [[nodiscard]] const std::vector<std::string> &localCandidates() const
     {
         return lists().localCandidates;
     }
-    /// The hosts that stay and were heard of within \p silence, this one among them where
-    /// it stays. \param dataCentre only those that stand there; empty for all.
-    [[nodiscard]] std::vector<std::string> seenWithin(Duration silence,
+    /// Returns the hosts that are not leaving and were seen within \p period; includes this
+    /// host unless it is leaving.
+    ///
+    /// \param dataCentre limits the result to this data centre; empty for all.
+    [[nodiscard]] std::vector<std::string> seenWithin(Duration period,
                                                       const std::string &dataCentre) const;
-    /// The same, but while this daemon, just started among many, has had no relay's list yet:
-    /// all that stay or are declared and not heard of. Hundreds that start together then
-    /// choose the same hosts for what one does for all; who is not there falls silent soon.
-    [[nodiscard]] std::vector<std::string> likelyLiveWithin(Duration silence,
+    /// Returns the same as seenWithin(), and while this daemon has just started in a large
+    /// fleet and has no host list from a relay yet, also the declared hosts that were never
+    /// seen. Hundreds of daemons that start together thus select the same hosts for shared
+    /// duties; hosts that do not respond are passed over soon.
+    [[nodiscard]] std::vector<std::string> likelyLiveWithin(Duration period,
                                                             const std::string &dataCentre) const;
-    /// Of \p hosts those that have at least half of the capacity of the largest: what is
-    /// done for many others is done there.
+    /// Returns those of \p hosts with at least half of the largest capacity among them. They
+    /// are preferred for work that serves many other hosts.
     [[nodiscard]] std::vector<std::string>
     highCapacityHosts(const std::vector<std::string> &hosts) const;
-    /// \p hosts in the order in which they are chosen for \p purpose, which few do for many:
-    /// able ones first, then by a hash of both, the same at every daemon.
+    /// Returns \p hosts in order of preference for \p purpose, a duty that few hosts perform
+    /// for all: high-capacity hosts first, then by a hash of purpose and host. The order is the
+    /// same at every daemon.
     [[nodiscard]] std::vector<std::string> ranked(std::vector<std::string> hosts,
                                                   const std::string &purpose) const;
-    /// How many hosts were heard of lately, this one among them; rises at once, falls late.
+    /// Returns the number of hosts seen recently, including this one. It rises at once when a
+    /// host joins and falls with a delay.
     [[nodiscard]] int recentHostCount() const;
-    /// What this daemon knows of live hosts, itself among them.
-    /// \param dataCentre only those that stand there; empty for all.
+    /// Returns the state of all live hosts, including this one.
+    ///
+    /// \param dataCentre limits the result to this data centre; empty for all.
     [[nodiscard]] std::vector<HostReport> hostReports(const std::string &dataCentre) const;
-    /// Whether \p host was heard of within \p silence, or is reported to live.
-    [[nodiscard]] bool seenWithin(const std::string &host, Duration silence) const;
-    /// The same of \p peer.
-    [[nodiscard]] bool seenWithin(const PeerHost &peer, Duration silence) const;
-    /// Whether \p host stands in the own data centre.
+    /// Returns whether \p host was seen within \p period or is reported as live by a relay.
+    [[nodiscard]] bool seenWithin(const std::string &host, Duration period) const;
+    /// \overload
+    [[nodiscard]] bool seenWithin(const PeerHost &peer, Duration period) const;
+    /// Returns whether \p host belongs to this host's data centre.
     [[nodiscard]] bool isLocal(const std::string &host) const;
-    /// The live hosts other than this one, sorted.
+    /// Returns the live hosts other than this one, sorted.
     [[nodiscard]] const std::vector<std::string> &livePeers() const { return lists().livePeers; }
     [[nodiscard]] const std::map<std::string, PeerHost> &peers() const { return m_peers; }
     [[nodiscard]] const std::string &host() const { return m_host; }
@@ -154,27 +163,27 @@
     [[nodiscard]] TimePoint nextTick() const { return m_nextHeartbeat; }
 
 private:
-    /// What is asked for often, as of the last change.
+    /// Cached host lists, as of the last change.
     struct Lists
     {
         std::vector<std::string> candidates;
         std::vector<std::string> localCandidates;
         std::vector<std::string> livePeers;
-        TimePoint validUntil = TimePoint::min(); ///< When the first may have fallen silent.
+        TimePoint validUntil = TimePoint::min(); ///< When the first live host may expire.
         std::uint64_t version = 0;
     };
 
     const Lists &lists() const;
-    void makeLists() const;
-    void forgetLists() { m_lists.validUntil = TimePoint::min(); }
-    void makeHeartbeatEarly();
+    void rebuildLists() const;
+    void invalidateLists() { m_lists.validUntil = TimePoint::min(); }
+    void scheduleEarlyHeartbeat();
     [[nodiscard]] TimePoint liveUntil(const PeerHost &peer) const;
-    [[nodiscard]] Duration livenessOf(const PeerHost &peer) const;
+    [[nodiscard]] Duration livenessTimeoutOf(const PeerHost &peer) const;
     [[nodiscard]] bool hasHighCapacity(double capacity) const;
-    [[nodiscard]] bool isAcquainted() const;
+    [[nodiscard]] bool knowsLiveHosts() const;
     template <typename Condition>
-    [[nodiscard]] std::vector<std::string> hostsThat(const Condition &stays,
-                                                     const std::string &dataCentre) const;
+    [[nodiscard]] std::vector<std::string> selectHosts(const Condition &condition,
+                                                       const std::string &dataCentre) const;
     [[nodiscard]] bool isLive(const PeerHost &peer) const;
     [[nodiscard]] bool isReported(const PeerHost &peer) const;
 
@@ -184,7 +193,7 @@
     std::string m_dataCentre;
     Incarnation m_incarnation;
     TimePoint m_startedAt;
-    bool m_listTaken = false; ///< A relay's list of all that live.
+    bool m_hasRelayHostList = false; ///< A relay has sent its list of all live hosts.
     bool m_leaving = false;
     double m_capacity = 1;
     TimePoint m_lastHeartbeat;
@@ -192,11 +201,11 @@
     std::map<std::string, PeerHost> m_peers;
     mutable Lists m_lists;
     mutable std::uint32_t m_heartbeatMultiplier = 1;
-    mutable double m_largestCapacity = 0; ///< Of the live hosts of the own data centre.
+    mutable double m_largestCapacity = 0; ///< Among the live hosts of this data centre.
 };
 
-/// The host of \p hosts that normally writes \p bucket, by rendezvous hashing:
-/// when a host comes or goes, only its own buckets move.
+/// Returns the one of \p hosts that normally writes \p bucket, by rendezvous hashing: when a
+/// host joins or leaves, only its own buckets move.
 [[nodiscard]] std::string preferredOwner(std::size_t bucket, const std::vector<std::string> &hosts);
 
 } // namespace harelink
--- a/lib/Kernel/membership.cpp
+++ b/lib/Kernel/membership.cpp
@@ -1,4 +1,4 @@
-//===- membership.cpp - Which hosts live ----------------------------------===//
+//===- membership.cpp - Cluster membership --------------------------------===//
 
 #include "harelink/Kernel/membership.h"
 
@@ -17,46 +17,49 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds heartbeatInterval{250};
-/// A host is taken to live this long after its last word.
-constexpr milliseconds livenessLimit{1000};
-/// Heartbeats that are sent early keep this distance: daemons that all start at once are
-/// heard one after the other, and one heartbeat answers them all.
+/// A host counts as live for this period after its last message.
+constexpr milliseconds livenessTimeout{1000};
+/// Minimum interval before an early heartbeat. Messages of daemons that start together arrive
+/// one after the other, and a single heartbeat replies to all of them.
 constexpr milliseconds earlyHeartbeatInterval{20};
-/// With more peers nobody greets early: relays tell of all at the next heartbeat, and each
-/// of hundreds that start together would greet fifty times a second.
-constexpr std::size_t mostGreeted = 16;
-/// A relay has answered the first heartbeat by then: two heartbeat intervals and some hops.
-constexpr milliseconds acquaintance{700};
-/// A host counts this long in what is divided among all: the window of a retry budget.
-constexpr milliseconds countedLife{10'000};
-/// A host is able to serve many others with this part of the largest one's capacity.
-constexpr double ablePart = 0.5;
-/// From so many hosts of a data centre on, those that are not able tell at each second
-/// heartbeat, and from the larger number on at each fourth: a relay hears some 100 messages a
-/// second, as many as it did with 24 hosts.
-constexpr std::size_t leastPacedHosts = 25;
-constexpr std::size_t leastSlowHosts = 97;
-constexpr std::uint32_t middlePace = 2;
-constexpr std::uint32_t slowPace = 4;
-constexpr double leastCapacity = 0.001;
-constexpr double mostCapacity = 100'000;
-
-/// Membership::heartbeatMultiplier() of a data centre with so many hosts.
-std::uint32_t paceAmong(std::size_t hosts)
-{
-    if (hosts >= leastSlowHosts) {
-        return slowPace;
+/// No early heartbeats are sent with more peers: a relay reports all hosts at the next
+/// heartbeat, and hundreds of daemons that start together would each send early heartbeats
+/// fifty times a second.
+constexpr std::size_t maxEarlyHeartbeatPeers = 16;
+/// Within this period after the start a relay has replied to the first heartbeat: two heartbeat
+/// intervals plus network hops.
+constexpr milliseconds initialViewTimeout{700};
+/// A host counts for this period after it was last seen in quantities that are divided among
+/// all hosts. Equals the window of a retry budget.
+constexpr milliseconds recentHostPeriod{10'000};
+/// A host has high capacity from this fraction of the largest host's capacity on.
+constexpr double highCapacityRatio = 0.5;
+/// From the first number of hosts in a data centre on, hosts without high capacity send every
+/// second heartbeat only, from the second number on every fourth. A relay then receives about
+/// 100 messages per second, as with 24 hosts.
+constexpr std::size_t minMediumFleetHosts = 25;
+constexpr std::size_t minLargeFleetHosts = 97;
+constexpr std::uint32_t mediumFleetMultiplier = 2;
+constexpr std::uint32_t largeFleetMultiplier = 4;
+constexpr double minCapacity = 0.001;
+constexpr double maxCapacity = 100'000;
+
+/// Returns Membership::heartbeatMultiplier() for a data centre of \p hosts hosts.
+std::uint32_t heartbeatMultiplierFor(std::size_t hosts)
+{
+    if (hosts >= minLargeFleetHosts) {
+        return largeFleetMultiplier;
     }
-    return hosts >= leastPacedHosts ? middlePace : 1;
+    return hosts >= minMediumFleetHosts ? mediumFleetMultiplier : 1;
 }
 
-/// Whether what stands at \p where is meant by \p dataCentre; an empty one means all.
+/// Returns whether \p where is in scope of \p dataCentre; empty stands for all data centres.
 bool isWithin(const std::string &where, const std::string &dataCentre)
 {
     return dataCentre.empty() || where == dataCentre;
 }
 
-/// What a host declared of itself.
+/// The object in which a host declares itself.
 struct HostDeclaration
 {
     std::string address;
@@ -64,8 +67,8 @@
     double capacity = 1;
 };
 
-/// The declaration in \p value; nothing where it is another writer's, or of a host that runs
-/// endpoints and no daemon: it has no address for peers.
+/// Parses the declaration in \p value. Returns std::nullopt if it cannot be read, or has no
+/// address for peers because its host runs endpoints and no daemon.
 std::optional<HostDeclaration> readDeclaration(const std::string &value)
 {
     const nlohmann::json document = nlohmann::json::parse(value, nullptr, false);
@@ -74,7 +77,7 @@
     HostDeclaration declaration;
     declaration.address = reader.text("peers");
     declaration.dataCentre = reader.text("dataCentre", "");
-    declaration.capacity = reader.number("capacity", leastCapacity, mostCapacity, 1.0);
+    declaration.capacity = reader.number("capacity", minCapacity, maxCapacity, 1.0);
     return faults.empty() ? std::optional(std::move(declaration)) : std::nullopt;
 }
 
@@ -113,13 +116,13 @@
         }
     }
     if (isAlone && !listed.empty()) {
-        makeHeartbeatEarly();
+        scheduleEarlyHeartbeat();
     }
-    // The list lags: a host that still speaks is not gone because the list says so.
+    // The list lags, so a host that is missing from it stays while it still sends messages.
     std::erase_if(m_peers, [&](const auto &entry) {
         return !listed.contains(entry.first) && !isLive(entry.second);
     });
-    forgetLists();
+    invalidateLists();
 }
 
 std::string Membership::ownDeclaration() const
@@ -132,10 +135,10 @@
 
 bool Membership::matchesDeclaration(const std::string &declaration) const
 {
-    const std::optional<HostDeclaration> stands = readDeclaration(declaration);
+    const std::optional<HostDeclaration> declared = readDeclaration(declaration);
     const std::optional<HostDeclaration> own = readDeclaration(ownDeclaration());
-    return stands && own && stands->address == own->address && stands->dataCentre == own->dataCentre
-           && stands->capacity == own->capacity;
+    return declared && own && declared->address == own->address
+           && declared->dataCentre == own->dataCentre && declared->capacity == own->capacity;
 }
 
 void Membership::recordMessage(const PeerMessage &message)
@@ -146,13 +149,12 @@
     PeerHost &peer = m_peers[message.host];
     const bool wasLive = isLive(peer);
     if (peer.incarnation != message.incarnation) {
-        // Incarnations are drawn at random, so an old message cannot be told by its
-        // number. It may bring an old incarnation back for a moment; the next
-        // heartbeat of the new one ends that, and nothing but hints hangs on it.
+        // Incarnations are random numbers and have no order. A delayed message may restore an
+        // old incarnation until the next heartbeat of the new one; only hints depend on it.
         peer.incarnation = message.incarnation;
         peer.leaving = false;
-        forgetLists();
-        makeHeartbeatEarly();
+        invalidateLists();
+        scheduleEarlyHeartbeat();
     }
     peer.lastSeen = m_clock.now();
     bool isChanged = !wasLive;
@@ -161,14 +163,15 @@
                     || peer.dataCentre != heartbeat->dataCentre
                     || (heartbeat->leaving && !peer.leaving)
                     || peer.capacity != heartbeat->capacity;
-        // Its own word reaches a daemon that starts while the host list is out.
+        // Heartbeats carry this data too, for daemons that start while the host list is
+        // unavailable.
         peer.address = heartbeat->address;
         peer.dataCentre = heartbeat->dataCentre;
         peer.leaving = peer.leaving || heartbeat->leaving;
         peer.capacity = heartbeat->capacity;
     }
     if (isChanged) {
-        forgetLists();
+        invalidateLists();
     }
 }
 
@@ -188,10 +191,10 @@
         if (peer.incarnation == 0) {
             peer.lastSeen = TimePoint::min();
         }
-        // What it said itself a moment ago goes before what others say of it.
-        const bool spoke = peer.incarnation != 0 && peer.lastSeen != TimePoint::min()
-                           && m_clock.now() - peer.lastSeen <= heartbeatInterval;
-        if (!spoke && peer.incarnation != report.incarnation) {
+        // A recent message from the host itself takes precedence over a relay's report.
+        const bool wasSeenDirectly = peer.incarnation != 0 && peer.lastSeen != TimePoint::min()
+                                     && m_clock.now() - peer.lastSeen <= heartbeatInterval;
+        if (!wasSeenDirectly && peer.incarnation != report.incarnation) {
             peer.incarnation = report.incarnation;
             peer.leaving = false;
         }
@@ -201,8 +204,8 @@
         peer.leaving = peer.leaving || (report.leaving && peer.incarnation == report.incarnation);
         peer.reportedAt = m_clock.now();
     }
-    m_listTaken = m_listTaken || dataCentre.empty();
-    forgetLists();
+    m_hasRelayHostList = m_hasRelayHostList || dataCentre.empty();
+    invalidateLists();
 }
 
 void Membership::renewHostReports(const std::string &dataCentre)
@@ -221,8 +224,8 @@
     };
     std::uint64_t sum = hashOf(m_host, m_incarnation, m_leaving);
     for (const auto &[name, peer] : m_peers) {
-        const bool isMeant = isWithin(peer.dataCentre, dataCentre);
-        if (isMeant && isLive(peer) && !peer.address.empty()) {
+        const bool isInScope = isWithin(peer.dataCentre, dataCentre);
+        if (isInScope && isLive(peer) && !peer.address.empty()) {
             sum += hashOf(name, peer.incarnation, peer.leaving);
         }
     }
@@ -251,25 +254,25 @@
     return sends;
 }
 
-/// Until daemons that start have heard of each other, each decides for itself what one
-/// decides for all: six that started at once formed calls for the same endpoints for 250 ms,
-/// which refused 44 calls and had no room for hundreds of pieces.
-void Membership::makeHeartbeatEarly()
+/// Daemons that start together and do not know each other yet each act as the one that decides
+/// for all. Six of them formed calls to the same endpoints for 250 ms; the endpoints refused 44
+/// calls and had no buffer space for hundreds of pieces.
+void Membership::scheduleEarlyHeartbeat()
 {
-    if (m_peers.size() > mostGreeted) {
+    if (m_peers.size() > maxEarlyHeartbeatPeers) {
         return;
     }
     const TimePoint now = m_clock.now();
-    const bool isSoonAfter =
+    const bool isTooSoon =
         m_lastHeartbeat != TimePoint::min() && now < m_lastHeartbeat + earlyHeartbeatInterval;
-    const TimePoint due = isSoonAfter ? TimePoint(m_lastHeartbeat + earlyHeartbeatInterval) : now;
+    const TimePoint due = isTooSoon ? TimePoint(m_lastHeartbeat + earlyHeartbeatInterval) : now;
     m_nextHeartbeat = std::min(m_nextHeartbeat, due);
 }
 
 void Membership::leave()
 {
     m_leaving = true;
-    forgetLists();
+    invalidateLists();
     m_nextHeartbeat = m_clock.now();
 }
 
@@ -277,17 +280,17 @@
 {
     return isReported(peer)
            || (peer.incarnation != 0 && peer.lastSeen != TimePoint::min()
-               && m_clock.now() - peer.lastSeen <= livenessOf(peer));
+               && m_clock.now() - peer.lastSeen <= livenessTimeoutOf(peer));
 }
 
-Duration Membership::livenessOf(const PeerHost &peer) const
+Duration Membership::livenessTimeoutOf(const PeerHost &peer) const
 {
-    return livenessLimit * (hasHighCapacity(peer) ? 1 : static_cast<int>(m_heartbeatMultiplier));
+    return livenessTimeout * (hasHighCapacity(peer) ? 1 : static_cast<int>(m_heartbeatMultiplier));
 }
 
 bool Membership::hasHighCapacity(double capacity) const
 {
-    return capacity >= m_largestCapacity * ablePart;
+    return capacity >= m_largestCapacity * highCapacityRatio;
 }
 
 bool Membership::isReported(const PeerHost &peer) const
@@ -311,13 +314,13 @@
 const Membership::Lists &Membership::lists() const
 {
     if (m_clock.now() >= m_lists.validUntil) {
-        makeLists();
+        rebuildLists();
     }
     return m_lists;
 }
 
-/// Makes the lists anew; each is sorted, as the hosts are kept by name.
-void Membership::makeLists() const
+/// Rebuilds the cached lists. They are sorted because m_peers is ordered by name.
+void Membership::rebuildLists() const
 {
     Lists lists;
     lists.version = m_lists.version + 1;
@@ -351,34 +354,34 @@
         add(m_host, m_dataCentre);
     }
     const std::size_t local = lists.localCandidates.size();
-    m_heartbeatMultiplier = paceAmong(local);
+    m_heartbeatMultiplier = heartbeatMultiplierFor(local);
     m_largestCapacity = largest;
     m_lists = std::move(lists);
 }
 
-/// The moment from which a live \p peer counts as silent, if nothing is heard of it.
+/// Returns the first moment at which a live \p peer is no longer live unless it is seen again.
 TimePoint Membership::liveUntil(const PeerHost &peer) const
 {
-    // It lives at the last moment of these spans.
+    // A host is still live at the last moment of these periods.
     constexpr Duration next{1};
     TimePoint until = TimePoint::min();
     if (peer.reportedAt != TimePoint::min()) {
         until = peer.reportedAt + reportTtl + next;
     }
     if (peer.incarnation != 0 && peer.lastSeen != TimePoint::min()) {
-        until = std::max<TimePoint>(until, peer.lastSeen + livenessOf(peer) + next);
+        until = std::max<TimePoint>(until, peer.lastSeen + livenessTimeoutOf(peer) + next);
     }
     return until;
 }
 
 template <typename Condition>
-std::vector<std::string> Membership::hostsThat(const Condition &stays,
-                                               const std::string &dataCentre) const
+std::vector<std::string> Membership::selectHosts(const Condition &condition,
+                                                 const std::string &dataCentre) const
 {
     std::vector<std::string> hosts;
     for (const auto &[name, peer] : m_peers) {
-        const bool stands = isWithin(peer.dataCentre, dataCentre);
-        if (stands && !peer.leaving && !peer.address.empty() && stays(peer)) {
+        const bool isInScope = isWithin(peer.dataCentre, dataCentre);
+        if (isInScope && !peer.leaving && !peer.address.empty() && condition(peer)) {
             hosts.push_back(name);
         }
     }
@@ -388,43 +391,43 @@
     return hosts;
 }
 
-std::vector<std::string> Membership::seenWithin(Duration silence,
+std::vector<std::string> Membership::seenWithin(Duration period,
                                                 const std::string &dataCentre) const
 {
-    return hostsThat([&](const PeerHost &peer) { return seenWithin(peer, silence); }, dataCentre);
+    return selectHosts([&](const PeerHost &peer) { return seenWithin(peer, period); }, dataCentre);
 }
 
-std::vector<std::string> Membership::likelyLiveWithin(Duration silence,
+std::vector<std::string> Membership::likelyLiveWithin(Duration period,
                                                       const std::string &dataCentre) const
 {
-    const bool isAcquaintedNow = isAcquainted();
+    const bool knowsLive = knowsLiveHosts();
     const auto isLikely = [&](const PeerHost &peer) {
-        return seenWithin(peer, silence) || (!isAcquaintedNow && peer.incarnation == 0);
+        return seenWithin(peer, period) || (!knowsLive && peer.incarnation == 0);
     };
-    return hostsThat(isLikely, dataCentre);
+    return selectHosts(isLikely, dataCentre);
 }
 
-/// Whether this daemon knows who lives, as far as that can be known. Few greet each other
-/// within a few milliseconds; among many a relay answers the first heartbeat.
-bool Membership::isAcquainted() const
+/// Returns whether this daemon has an initial view of the live hosts. In a small fleet early
+/// heartbeats provide it within milliseconds, in a large one the reply of a relay does.
+bool Membership::knowsLiveHosts() const
 {
-    return m_peers.size() <= mostGreeted || m_listTaken
-           || m_clock.now() - m_startedAt >= acquaintance;
+    return m_peers.size() <= maxEarlyHeartbeatPeers || m_hasRelayHostList
+           || m_clock.now() - m_startedAt >= initialViewTimeout;
 }
 
-bool Membership::seenWithin(const std::string &host, Duration silence) const
+bool Membership::seenWithin(const std::string &host, Duration period) const
 {
     const auto found = m_peers.find(host);
-    return found != m_peers.end() && seenWithin(found->second, silence);
+    return found != m_peers.end() && seenWithin(found->second, period);
 }
 
-bool Membership::seenWithin(const PeerHost &peer, Duration silence) const
+bool Membership::seenWithin(const PeerHost &peer, Duration period) const
 {
     if (peer.incarnation == 0) {
         return false;
     }
     return isReported(peer)
-           || (peer.lastSeen != TimePoint::min() && m_clock.now() - peer.lastSeen <= silence);
+           || (peer.lastSeen != TimePoint::min() && m_clock.now() - peer.lastSeen <= period);
 }
 
 std::vector<std::string> Membership::highCapacityHosts(const std::vector<std::string> &hosts) const
@@ -436,20 +439,20 @@
         capacities.push_back(found == m_peers.end() ? m_capacity : found->second.capacity);
     }
     const auto largest = std::max_element(capacities.begin(), capacities.end());
-    std::vector<std::string> able;
+    std::vector<std::string> capable;
     for (std::size_t i = 0; i < hosts.size(); ++i) {
-        if (capacities[i] >= *largest * ablePart) {
-            able.push_back(hosts[i]);
+        if (capacities[i] >= *largest * highCapacityRatio) {
+            capable.push_back(hosts[i]);
         }
     }
-    return able;
+    return capable;
 }
 
 std::vector<std::string> Membership::ranked(std::vector<std::string> hosts,
                                             const std::string &purpose) const
 {
-    const std::vector<std::string> able = highCapacityHosts(hosts);
-    const std::set<std::string> first(able.begin(), able.end());
+    const std::vector<std::string> capable = highCapacityHosts(hosts);
+    const std::set<std::string> first(capable.begin(), capable.end());
     const auto rank = [&](const std::string &host) {
         return std::pair(first.contains(host), hash64(purpose + "/" + host));
     };
@@ -464,7 +467,7 @@
     const auto counts = [now](const auto &entry) {
         const PeerHost &peer = entry.second;
         const TimePoint last = std::max(peer.lastSeen, peer.reportedAt);
-        return peer.incarnation != 0 && last != TimePoint::min() && now - last <= countedLife;
+        return peer.incarnation != 0 && last != TimePoint::min() && now - last <= recentHostPeriod;
     };
     return 1 + static_cast<int>(std::count_if(m_peers.begin(), m_peers.end(), counts));
 }
@@ -473,8 +476,8 @@
 {
     std::vector<HostReport> reports;
     for (const auto &[name, peer] : m_peers) {
-        const bool isMeant = isWithin(peer.dataCentre, dataCentre);
-        if (isMeant && isLive(peer) && !peer.address.empty()) {
+        const bool isInScope = isWithin(peer.dataCentre, dataCentre);
+        if (isInScope && isLive(peer) && !peer.address.empty()) {
             reports.push_back({name, peer.dataCentre, peer.address, peer.incarnation, peer.leaving,
                                peer.capacity});
         }
