--- a/include/harelink/Kernel/configgossip.h
+++ b/include/harelink/Kernel/configgossip.h
@@ -60,7 +60,7 @@
     void handle(const std::string &host, const ConfigDigest &digest);
     /// Sends the digests that are due.
     void tick();
-    [[nodiscard]] std::vector<PeerSend> takeSends() { return std::exchange(m_sends, {}); }
+    [[nodiscard]] std::vector<PeerSend> drainSends() { return std::exchange(m_sends, {}); }
     [[nodiscard]] TimePoint nextTick() const;
 
 private:
--- a/include/harelink/Kernel/configgossipimpl.h
+++ b/include/harelink/Kernel/configgossipimpl.h
@@ -117,7 +117,7 @@
 void BasicConfigGossip<G>::pushUpdates()
 {
     ConfigPush push;
-    push.objects = m_table.takeUpdates();
+    push.objects = m_table.drainUpdates();
     if (push.objects.empty()) {
         return;
     }
@@ -142,7 +142,7 @@
         changed = m_table.apply(object) || changed;
     }
     // What came from a peer is not pushed again: digests carry it further.
-    (void)m_table.takeUpdates();
+    (void)m_table.drainUpdates();
     forgetMatching();
     return changed;
 }
--- a/include/harelink/Kernel/configmachine.h
+++ b/include/harelink/Kernel/configmachine.h
@@ -70,12 +70,12 @@
     /// Whether the endpoint called \p name has started again under another name since.
     [[nodiscard]] bool hasEnded(const std::string &name) const;
     /// The endpoints that have ended so since the last call.
-    [[nodiscard]] std::vector<std::string> takeEndedEndpoints()
+    [[nodiscard]] std::vector<std::string> drainEndedEndpoints()
     {
         return std::exchange(m_ended, {});
     }
     /// The faults found since the last call; one that stays the same is told once.
-    [[nodiscard]] std::vector<ConfigFault> takeFaults() { return std::exchange(m_faults, {}); }
+    [[nodiscard]] std::vector<ConfigFault> drainFaults() { return std::exchange(m_faults, {}); }
     /// How many objects could not be read.
     [[nodiscard]] std::uint64_t unreadableObjects() const { return m_unreadable; }
     [[nodiscard]] const ObjectReader &reader() const { return m_reader; }
@@ -85,7 +85,7 @@
     [[nodiscard]] Version revision() const;
     [[nodiscard]] const std::map<Key, ConfigEntry> &entries() const { return m_entries; }
     /// The news that were taken in since the last call, for passing on.
-    [[nodiscard]] std::vector<PlatformObject> takeUpdates() { return std::exchange(m_news, {}); }
+    [[nodiscard]] std::vector<PlatformObject> drainUpdates() { return std::exchange(m_news, {}); }
     /// A hash over the versions seen, the same for the same versions. It is asked for at each
     /// heartbeat that a relay hears, so it is kept and not made from all entries.
     [[nodiscard]] std::uint64_t summary() const { return m_summary; }
--- a/include/harelink/Kernel/controlmachine.h
+++ b/include/harelink/Kernel/controlmachine.h
@@ -113,7 +113,7 @@
     [[nodiscard]] bool heartbeatsDue() const;
 
     /// Takes what came up since the last call.
-    [[nodiscard]] ControlOutput takeOutput();
+    [[nodiscard]] ControlOutput drainOutput();
     /// When tick() is due at the latest.
     [[nodiscard]] TimePoint nextTick() const;
     /// Whether no claim or end of this daemon waits for anything.
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -141,7 +141,7 @@
 }
 
 template <GuardPolicy G>
-ControlOutput BasicControlMachine<G>::takeOutput()
+ControlOutput BasicControlMachine<G>::drainOutput()
 {
     forwardLedgerReplies();
     takeCrashes();
@@ -149,11 +149,11 @@
     for (PeerSend &send : m_router.takeSends()) {
         m_output.sends.push_back(std::move(send));
     }
-    for (PeerSend &send : m_gossip.takeSends()) {
+    for (PeerSend &send : m_gossip.drainSends()) {
         m_output.sends.push_back(std::move(send));
     }
-    m_output.endedEndpoints = m_config.takeEndedEndpoints();
-    m_output.faults = m_config.takeFaults();
+    m_output.endedEndpoints = m_config.drainEndedEndpoints();
+    m_output.faults = m_config.drainFaults();
     for (ClaimDecision &decision : m_router.takeDecisions()) {
         m_output.decisions.push_back(std::move(decision));
     }
@@ -398,7 +398,7 @@
             if (isNews) {
                 m_gossip.pushUpdates();
             } else {
-                (void)m_config.takeUpdates();
+                (void)m_config.drainUpdates();
             }
             return;
         }
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -503,7 +503,7 @@
 void Control::carryOut()
 {
     carryOutPieces();
-    ControlOutput output = m_machine.takeOutput();
+    ControlOutput output = m_machine.drainOutput();
     for (const PlatformCall &next : output.calls) {
         call(next);
     }
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -486,7 +486,7 @@
         for (RequestAction &action : host.requests->takeActions()) {
             std::visit([&](const auto &what) { perform(host, what); }, action);
         }
-        ControlOutput output = host.control->takeOutput();
+        ControlOutput output = host.control->drainOutput();
         for (const PlatformCall &call : output.calls) {
             perform(host, call);
         }
--- a/unittests/Kernel/coldchecktest.cpp
+++ b/unittests/Kernel/coldchecktest.cpp
@@ -217,7 +217,7 @@
     ManualClock clock;
     ControlMachine control(clock, controlOptions());
     const auto answerCalls = [&control] {
-        for (const PlatformCall &call : control.takeOutput().calls) {
+        for (const PlatformCall &call : control.drainOutput().calls) {
             PlatformResult result;
             result.id = call.id;
             result.outcome = PlatformOutcome::Ok;
--- a/unittests/Kernel/configgossiptest.cpp
+++ b/unittests/Kernel/configgossiptest.cpp
@@ -33,7 +33,7 @@
         for (const auto &host : m_hosts) {
             // As long before as the first object of all.
             (void)host->table.apply({"Pool", "first", 1, false, "{}"});
-            (void)host->table.takeUpdates();
+            (void)host->table.drainUpdates();
             host->gossip.setConnected(true);
         }
         run(milliseconds(1500));
@@ -115,7 +115,7 @@
         for (bool more = true; more;) {
             more = false;
             for (const auto &from : m_hosts) {
-                for (const PeerSend &send : from->gossip.takeSends()) {
+                for (const PeerSend &send : from->gossip.drainSends()) {
                     more = true;
                     take(from->name, send);
                 }
--- a/unittests/Kernel/controlmachinetest.cpp
+++ b/unittests/Kernel/controlmachinetest.cpp
@@ -48,7 +48,7 @@
         ConfigPush push;
         push.objects.push_back({kind, name, ++version, false, "{}"});
         machine.handle(PeerMessage{"h2", 2, push});
-        return machine.takeOutput().configChanged;
+        return machine.drainOutput().configChanged;
     }
 
     ManualClock clock;
@@ -77,7 +77,7 @@
     Bench bench;
     bench.machine.tick();
     std::vector<PlatformCall> listings;
-    for (const PlatformCall &call : bench.machine.takeOutput().calls) {
+    for (const PlatformCall &call : bench.machine.drainOutput().calls) {
         if (call.operation == PlatformOperation::List) {
             listings.push_back(call);
         }
@@ -91,7 +91,7 @@
         result.objects.push_back({call.kind, name, bench.version, false, "{}"});
         bench.machine.handle(result);
         std::size_t pushes = 0;
-        for (const PeerSend &send : bench.machine.takeOutput().sends) {
+        for (const PeerSend &send : bench.machine.drainOutput().sends) {
             pushes += std::holds_alternative<ConfigPush>(send.message.content) ? 1 : 0;
         }
         return pushes;
@@ -102,7 +102,7 @@
     // What its watches bring is.
     bench.clock.advance(std::chrono::seconds(1));
     bench.machine.tick();
-    for (const PlatformCall &call : bench.machine.takeOutput().calls) {
+    for (const PlatformCall &call : bench.machine.drainOutput().calls) {
         if (call.operation == PlatformOperation::Watch) {
             LONGS_EQUAL(1, answer(call, "second"));
         }
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -61,7 +61,7 @@
             {"DataCentreDrain", "dc2", version, deleted,
              R"({"kind": "DataCentreDrain", "name": "dc2", "spec": {"dataCentre": "dc2"}})"});
         machine.handle(PeerMessage{"h2", 2, push});
-        (void)machine.takeOutput();
+        (void)machine.drainOutput();
     }
     [[nodiscard]] bool isDrained() const
     {
@@ -235,7 +235,7 @@
     {
         machine.handle(heartbeatOf(2));
         machine.tick();
-        for (const PlatformCall &call : machine.takeOutput().calls) {
+        for (const PlatformCall &call : machine.drainOutput().calls) {
             const bool isListing = call.operation == PlatformOperation::List;
             calls[isListing ? call.kind : std::string(toText(call.operation))] = call.id;
         }
@@ -248,7 +248,7 @@
         result.outcome = outcome;
         result.version = 3;
         machine.handle(result);
-        return machine.takeOutput().configChanged;
+        return machine.drainOutput().configChanged;
     }
     /// Whether a peer's news does.
     bool push(const std::string &kind, const std::string &name)
@@ -256,7 +256,7 @@
         ConfigPush push;
         push.objects.push_back({kind, name, ++version, false, "{}"});
         machine.handle(PeerMessage{"h2", 2, push});
-        return machine.takeOutput().configChanged;
+        return machine.drainOutput().configChanged;
     }
 
     ManualClock clock;
--- a/unittests/Kernel/fleetfixture.h
+++ b/unittests/Kernel/fleetfixture.h
@@ -248,7 +248,7 @@
     void turn(const std::string &name, ControlMachine &host)
     {
         host.tick();
-        ControlOutput output = host.takeOutput();
+        ControlOutput output = host.drainOutput();
         for (const PlatformCall &call : output.calls) {
             take(name, call, host);
         }
--- a/unittests/Kernel/peerrelaytest.cpp
+++ b/unittests/Kernel/peerrelaytest.cpp
@@ -122,7 +122,7 @@
             host.recordPrompts({{"engine", m_tokens[name]}});
         }
         host.tick();
-        ControlOutput output = host.takeOutput();
+        ControlOutput output = host.drainOutput();
         for (const PlatformCall &call : output.calls) {
             answer(call, host);
         }
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -47,16 +47,16 @@
                                 R"({"kind": "Endpoint", "name": "e1",
                  "spec": {"pool": "engines", "address": "10.0.0.1:80", "dataCentre": "dc1"}})"});
         machine.handle(PeerMessage{"h2", 2, push});
-        (void)machine.takeOutput();
+        (void)machine.drainOutput();
     }
     /// The reports that a broken call brings once nobody listens at its endpoint.
     std::vector<PeerSend> reportsOfEnd()
     {
-        const ControlOutput asked = machine.takeOutput();
+        const ControlOutput asked = machine.drainOutput();
         LONGS_EQUAL(1, asked.probes.size());
         machine.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
         std::vector<PeerSend> reports;
-        const ControlOutput output = machine.takeOutput();
+        const ControlOutput output = machine.drainOutput();
         for (const PeerSend &send : output.sends) {
             if (std::holds_alternative<CrashReports>(send.message.content)) {
                 reports.push_back(send);
@@ -216,7 +216,7 @@
                                    milliseconds(100), milliseconds(3)});
         bench.machine.handle(PeerMessage{"h3", 3, message});
         bench.machine.tick();
-        const ControlOutput output = bench.machine.takeOutput();
+        const ControlOutput output = bench.machine.drainOutput();
         LONGS_EQUAL(i == 2 ? 1 : 0, output.quarantines.size());
         LONGS_EQUAL(i == 2, output.configChanged);
     }
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -77,11 +77,11 @@
 {
     ConfigTable table(reader);
     CHECK(table.apply(entry(5, 1000, 9)));
-    CHECK(table.takeEndedEndpoints().empty());
+    CHECK(table.drainEndedEndpoints().empty());
     // Counts start anew, so a lower one is no older news.
     CHECK(table.apply(entry(6, 2000, 1)));
     STRCMP_EQUAL("i-1@2000", nameInForce(table).c_str());
-    const std::vector<std::string> ended = table.takeEndedEndpoints();
+    const std::vector<std::string> ended = table.drainEndedEndpoints();
     LONGS_EQUAL(1, ended.size());
     STRCMP_EQUAL("i-1@1000", ended[0].c_str());
     CHECK(table.hasEnded("i-1@1000"));
--- a/unittests/Platform/foreignentriestest.cpp
+++ b/unittests/Platform/foreignentriestest.cpp
@@ -160,11 +160,11 @@
     object.value = "\"something else\"";
     CHECK(table.apply(object));
     LONGS_EQUAL(0, table.resources().size());
-    LONGS_EQUAL(1, table.takeFaults().size());
+    LONGS_EQUAL(1, table.drainFaults().size());
     // The same fault again is no news.
     object.version = 7;
     (void)table.apply(object);
-    LONGS_EQUAL(0, table.takeFaults().size());
+    LONGS_EQUAL(0, table.drainFaults().size());
     LONGS_EQUAL(2, table.unreadableObjects());
     object.version = 8;
     object.value = goodEntry;
