--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -178,7 +178,7 @@
 std::vector<Resource> BasicControlMachine<G>::resources() const
 {
     std::vector<Resource> all = m_config.resources();
-    if (!G::shunsDrained) {
+    if (!G::avoidsDrained) {
         std::erase_if(all, [](const Resource &resource) {
             return std::holds_alternative<DataCentreDrainSpec>(resource.spec);
         });
@@ -605,7 +605,7 @@
 void BasicControlMachine<G>::noteLeaving(const std::string &endpoint)
 {
     const ConfigEntry *declared = m_config.endpoint(endpoint);
-    if (!G::shunsLeaving || m_config.hasEnded(endpoint)) {
+    if (!G::avoidsLeaving || m_config.hasEnded(endpoint)) {
         return;
     }
     if (declared == nullptr) {
--- a/include/harelink/Kernel/guards.h
+++ b/include/harelink/Kernel/guards.h
@@ -28,34 +28,34 @@
     /// A claim is written only over the version that it was decided on.
     static constexpr bool updatesConditionally = true;
     /// A write whose answer was lost is settled only by a version that moved.
-    static constexpr bool settlesByVersion = true;
+    static constexpr bool resolvesWritesByVersion = true;
     /// A claim belongs to one request, not to the daemon that took it in.
-    static constexpr bool claimantIsRequest = true;
+    static constexpr bool claimsPerRequest = true;
     /// News of an object counts only if it is newer than what was seen.
-    static constexpr bool dropsOlderNews = true;
+    static constexpr bool dropsStaleUpdates = true;
     /// A leaving endpoint gets no new work.
-    static constexpr bool shunsLeaving = true;
+    static constexpr bool avoidsLeaving = true;
     /// The endpoints of a data centre that is drained get no new work.
-    static constexpr bool shunsDrained = true;
+    static constexpr bool avoidsDrained = true;
     /// Endpoints that are cold get no more than they bear, from all daemons together.
-    static constexpr bool sparesCold = true;
+    static constexpr bool avoidsCold = true;
     /// A daemon that is not told which endpoints are cold checks them before it sends.
     static constexpr bool checksColdState = true;
     /// Endpoints that state a rate limit get no more from all daemons together.
-    static constexpr bool keepsRateLimits = true;
+    static constexpr bool enforcesRateLimits = true;
     /// Endpoints get nothing in a pause that they asked for.
-    static constexpr bool keepsPauses = true;
+    static constexpr bool enforcesPauses = true;
     /// A request under which endpoints have ended is not run again.
     static constexpr bool quarantinesCrashing = true;
     /// The time for which a host was suspended counts for all that its daemon times. (The
     /// clock that is handed in sees to it.)
-    static constexpr bool countsSuspension = true;
+    static constexpr bool countsSuspendedTime = true;
     /// A stopping daemon finishes what is in flight.
     static constexpr bool drainsBeforeExit = true;
     /// A request is taken in, and kept, only while it is predicted to be in time.
     static constexpr bool admitsByPrediction = true;
     /// Waiting accounts go by their use for their weight, not as they came.
-    static constexpr bool ordersByUse = true;
+    static constexpr bool ordersByUsage = true;
     /// The slots of a pool are divided among the accounts that want them.
     static constexpr bool sharesSlots = true;
 };
@@ -80,37 +80,37 @@
         G::updatesConditionally
         } -> std::convertible_to<bool>;
     {
-        G::settlesByVersion
+        G::resolvesWritesByVersion
         } -> std::convertible_to<bool>;
     {
-        G::claimantIsRequest
+        G::claimsPerRequest
         } -> std::convertible_to<bool>;
     {
-        G::dropsOlderNews
+        G::dropsStaleUpdates
         } -> std::convertible_to<bool>;
     {
-        G::shunsLeaving
+        G::avoidsLeaving
         } -> std::convertible_to<bool>;
     {
-        G::shunsDrained
+        G::avoidsDrained
         } -> std::convertible_to<bool>;
     {
-        G::sparesCold
+        G::avoidsCold
         } -> std::convertible_to<bool>;
     {
         G::checksColdState
         } -> std::convertible_to<bool>;
     {
-        G::keepsRateLimits
+        G::enforcesRateLimits
         } -> std::convertible_to<bool>;
     {
-        G::keepsPauses
+        G::enforcesPauses
         } -> std::convertible_to<bool>;
     {
         G::quarantinesCrashing
         } -> std::convertible_to<bool>;
     {
-        G::countsSuspension
+        G::countsSuspendedTime
         } -> std::convertible_to<bool>;
     {
         G::drainsBeforeExit
@@ -119,7 +119,7 @@
         G::admitsByPrediction
         } -> std::convertible_to<bool>;
     {
-        G::ordersByUse
+        G::ordersByUsage
         } -> std::convertible_to<bool>;
     {
         G::sharesSlots
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -212,10 +212,10 @@
     if (!notice || endpoint == nullptr) {
         return;
     }
-    if (G::keepsPauses && notice->pause > Duration::zero()) {
+    if (G::enforcesPauses && notice->pause > Duration::zero()) {
         recordPause(*endpoint, notice->pause, m_clock.now());
     }
-    if (G::shunsLeaving && notice->isLeaving) {
+    if (G::avoidsLeaving && notice->isLeaving) {
         endpoint->load->leaving.store(true, std::memory_order_relaxed);
     }
     const bool wasLimited = endpoint->load->isLimited.load(std::memory_order_relaxed);
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -23,7 +23,7 @@
 template <GuardPolicy G>
 FairQueue::Place BasicRequestMachine<G>::placeOf(const Request &request)
 {
-    if (!G::ordersByUse) {
+    if (!G::ordersByUsage) {
         return {{}, request.arrivedAt, request.id.sequence};
     }
     const TimePoint due = request.proxied ? request.wanted : request.deadline;
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -149,7 +149,7 @@
         m_trace.add("suspend " + name);
         host.frozen = true;
         host.isSuspended = true;
-        host.clock->setStanding(!G::countsSuspension);
+        host.clock->setStanding(!G::countsSuspendedTime);
     }
 
     void thaw(const std::string &name)
@@ -522,7 +522,7 @@
 
     void keepLimit(Host &host, const EndpointLimitStated &limit)
     {
-        if (G::keepsRateLimits) {
+        if (G::enforcesRateLimits) {
             applyLimit(*host.snapshot, limit.endpoint, limit.statement, host.control->rateShares(),
                        host.clock->now());
         }
@@ -544,7 +544,7 @@
         std::unique_ptr<const Snapshot> next =
             buildSnapshot(host.control->resources(), host.control->config().revision(),
                           host.dataCentre, host.snapshot.get());
-        if (G::sparesCold) {
+        if (G::avoidsCold) {
             noteColdStarts(*next, *host.snapshot, host.clock->now(), host.control->coldShares());
             if (!receivesEndpointUpdates(*next, host.clock->now())) {
                 recordColdShares(*next, host.control->coldShares());
--- a/unittests/Kernel/configtabletest.cpp
+++ b/unittests/Kernel/configtabletest.cpp
@@ -30,7 +30,7 @@
 /// Takes older news as well; what the product must not do.
 struct NoHighWater : AllGuards
 {
-    static constexpr bool dropsOlderNews = false;
+    static constexpr bool dropsStaleUpdates = false;
 };
 
 } // namespace
--- a/unittests/Kernel/slotsharestest.cpp
+++ b/unittests/Kernel/slotsharestest.cpp
@@ -48,7 +48,7 @@
 
 struct WithoutShares : AllGuards
 {
-    static constexpr bool ordersByUse = false;
+    static constexpr bool ordersByUsage = false;
     static constexpr bool sharesSlots = false;
 };
 
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -31,7 +31,7 @@
 /// Lets an older life come back by a write that was done late; what the product must not do.
 struct NoHighWater : AllGuards
 {
-    static constexpr bool dropsOlderNews = false;
+    static constexpr bool dropsStaleUpdates = false;
 };
 
 template <typename Table>
--- a/utils/bench/policies.cpp
+++ b/utils/bench/policies.cpp
@@ -52,7 +52,7 @@
 
 struct FirstComeFirstServed : AllGuards
 {
-    static constexpr bool ordersByUse = false;
+    static constexpr bool ordersByUsage = false;
     static constexpr bool sharesSlots = false;
 };
 
