--- a/include/harelink/Adapters/stageprotocol.h
+++ b/include/harelink/Adapters/stageprotocol.h
@@ -79,7 +79,7 @@
     /// \param protocol outlives the stream.
     StageStream(const StageProtocol &protocol, const SendStage &stage);
     /// Takes in a part of the body; gives what it brought, in order.
-    std::vector<StagePiece> take(const HttpResult &head, const std::string &body);
+    std::vector<StageChunk> take(const HttpResult &head, const std::string &body);
     /// What the end of the call says.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(const HttpResult &result) const;
 
--- a/include/harelink/Config/settings.h
+++ b/include/harelink/Config/settings.h
@@ -60,7 +60,7 @@
     std::string logLevel;                          ///< debug, info, warning or error.
     int workers = 2;                               ///< Worker threads.
     int listenerThreads = 2;                       ///< Threads that read callers' connections.
-    std::size_t mostRequests = 10'000;             ///< In progress on one worker; more are refused.
+    std::size_t maxRequests = 10'000;              ///< In progress on one worker; more are refused.
     std::chrono::milliseconds platformTimeout{1000}; ///< After it a call counts as silent.
     std::chrono::milliseconds drainLimit{10'000};    ///< A planned stop takes no longer.
     /// Requests under which endpoints ended are not run for so long, unless it is lifted.
--- a/include/harelink/Daemon/callerapi.h
+++ b/include/harelink/Daemon/callerapi.h
@@ -37,9 +37,9 @@
 [[nodiscard]] HttpReply makeCallerReply(const AnswerCaller &answer);
 
 /// The first part of a reply in parts, which carries \p piece.
-[[nodiscard]] HttpReply makeStreamBegin(const StreamPiece &piece);
+[[nodiscard]] HttpReply makeStreamBegin(const StreamChunk &piece);
 /// A further part.
-[[nodiscard]] HttpReply makeStreamPart(const StreamPiece &piece);
+[[nodiscard]] HttpReply makeStreamPart(const StreamChunk &piece);
 /// The last part. Its event carries the outcome: an answer without it is not whole.
 [[nodiscard]] HttpReply makeStreamEnd(const AnswerCaller &answer);
 /// The whole of a completed answer as events, where nothing came in parts.
--- a/include/harelink/Daemon/worker.h
+++ b/include/harelink/Daemon/worker.h
@@ -106,7 +106,7 @@
     void carryOut();
     void perform(SendStage action);
     void perform(const CancelStage &action);
-    void perform(const StreamPiece &action);
+    void perform(const StreamChunk &action);
     void perform(const AnswerCaller &action);
     void perform(ClaimRequest action);
     void perform(ClaimFinish action);
--- a/include/harelink/Kernel/patiencemodel.h
+++ b/include/harelink/Kernel/clienttimeoutmodel.h
@@ -1,4 +1,4 @@
-//===- harelink/Kernel/patiencemodel.h - Time callers spent -----*- C++ -*-===//
+//===- harelink/Kernel/clienttimeoutmodel.h - Time callers spent -----*- C++ -*-===//
 ///
 /// \file
 /// Estimates how long ago the caller of a request first tried. A caller that was refused
@@ -11,8 +11,8 @@
 ///
 //===----------------------------------------------------------------------===//
 
-#ifndef HARELINK_KERNEL_PATIENCEMODEL_H
-#define HARELINK_KERNEL_PATIENCEMODEL_H
+#ifndef HARELINK_KERNEL_CLIENTTIMEOUTMODEL_H
+#define HARELINK_KERNEL_CLIENTTIMEOUTMODEL_H
 
 #include "harelink/Support/clock.h"
 
@@ -24,12 +24,12 @@
 /// What callers of one pipeline allow at their first try, learnt from what requests of late
 /// allowed. Callers come back once or a few times, so first tries are many, and most of them
 /// allow the same; where they do not, nothing is concluded.
-class PatienceModel
+class ClientTimeoutModel
 {
 public:
     /// Takes in a request that allows \p allowed; the time that its caller has spent on
     /// earlier tries, zero for one that seems to be the first.
-    Duration note(Duration allowed);
+    Duration record(Duration allowed);
 
 private:
     /// Requests that are looked at: a few seconds of one pipeline at one daemon.
@@ -43,4 +43,4 @@
 
 } // namespace harelink
 
-#endif // HARELINK_KERNEL_PATIENCEMODEL_H
+#endif // HARELINK_KERNEL_CLIENTTIMEOUTMODEL_H
--- a/include/harelink/Kernel/endpointnotice.h
+++ b/include/harelink/Kernel/endpointnotice.h
@@ -29,7 +29,7 @@
     /// The name and the value of the last field that could not be read; empty for none.
     std::string unreadable;
 
-    [[nodiscard]] bool saysSomething() const
+    [[nodiscard]] bool hasContent() const
     {
         return requestsPerSecond || pause > Duration::zero() || isLeaving || !unreadable.empty();
     }
--- a/include/harelink/Kernel/piecebatcher.h
+++ b/include/harelink/Kernel/piecebatcher.h
@@ -64,7 +64,7 @@
     bool answered = false;            ///< The results are there, in the order of the call.
     std::vector<PieceResult> results; ///< Where it was answered.
     SendEvidence evidence = SendEvidence::Sent; ///< Where it was not.
-    bool isOtherEndpoint = false;               ///< Another endpoint has taken over the address.
+    bool isEndpointReplaced = false;            ///< Another endpoint has taken over the address.
     absl::Status status;
     std::optional<EndpointNotice> notice; ///< Absent where nothing came from the endpoint.
 };
--- a/include/harelink/Kernel/proxied.h
+++ b/include/harelink/Kernel/proxied.h
@@ -45,7 +45,7 @@
     std::string model;
     std::vector<PromptPart> prompt; ///< In order; the last part is this request's own.
     std::uint64_t promptTokens = 0;
-    std::uint64_t mostAnswerTokens = 0;
+    std::uint64_t maxAnswerTokens = 0;
 
     std::vector<std::uint32_t> pieceCounts; ///< By piece stage of the route; 0 leaves it out.
     std::string pieceKey;                   ///< What pieces without inputs are made from.
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -47,7 +47,7 @@
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::handle(const StagePiece &event, const Snapshot &snapshot)
+void BasicRequestMachine<G>::handle(const StageChunk &event, const Snapshot &snapshot)
 {
     noticePause();
     Request *request = findCurrent(event.call);
@@ -67,11 +67,11 @@
         noteProgress(*endpoint, m_clock.now());
     }
     if (request->tokens == 0) {
-        request->firstPiece = m_clock.now() - request->arrivedAt;
+        request->timeToFirstChunk = m_clock.now() - request->arrivedAt;
     }
     request->tokens += event.tokens;
     request->text += event.text;
-    m_actions.emplace_back(StreamPiece{request->id, event.firstToken, event.tokens, event.text});
+    m_actions.emplace_back(StreamChunk{request->id, event.firstToken, event.tokens, event.text});
 }
 
 template <GuardPolicy G>
@@ -180,7 +180,7 @@
     if (event.evidence == SendEvidence::RefusedBeforeRun) {
         ++request->refusals;
     }
-    if (event.isOtherEndpoint) {
+    if (event.isEndpointReplaced) {
         m_actions.emplace_back(EndpointReplaced{request->endpoint});
     }
     if (event.inputsGone && request->pieces) {
@@ -219,7 +219,7 @@
         endpoint->load->leaving.store(true, std::memory_order_relaxed);
     }
     const bool wasLimited = endpoint->load->isLimited.load(std::memory_order_relaxed);
-    if (notice->saysSomething() || wasLimited) {
+    if (notice->hasContent() || wasLimited) {
         m_actions.emplace_back(EndpointNoticed{request.endpoint, *notice, request.sentAt});
     }
 }
@@ -358,14 +358,14 @@
     action.pipeline = request.pipeline.name;
     action.elapsed = m_clock.now() - request.arrivedAt;
     action.allowed = request.deadline - request.arrivedAt;
-    action.firstPiece = request.firstPiece;
+    action.timeToFirstChunk = request.timeToFirstChunk;
     action.tokens = request.tokens;
     action.costs = std::move(request.costs);
     action.callerId = request.proxied ? request.proxied->callerId : std::string();
     action.endpoint = request.endpoint;
     action.sends = request.attempt;
     action.predicted = request.predicted;
-    action.takenLate = request.isLate;
+    action.admittedLate = request.isLate;
     action.prepared = request.prepared;
     countDemand(request, static_cast<std::uint32_t>(request.pipeline.stages.size()));
     ++m_counters.reasons[static_cast<std::size_t>(action.reason)];
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -338,8 +338,8 @@
     action.traceparent = request.traceparent;
     action.timeout = request.deadline - now;
     action.streams = request.streams && request.stage + 1 == request.pipeline.stages.size();
-    action.tokensBefore = request.tokens;
-    action.textBefore = request.text;
+    action.tokensDelivered = request.tokens;
+    action.textDelivered = request.text;
     action.account = request.account;
     action.priority = request.priority;
     action.proxied = request.proxied;
@@ -350,7 +350,7 @@
         action.resumeAfter = request.lastEvent;
     }
     if (request.proxied && request.arrivals > 0) {
-        budgetOf(pool.spec.name).noteRepeat(now);
+        budgetOf(pool.spec.name).recordRetry(now);
     }
     m_counters.resumedStreams += request.tokens > 0 || request.headPassedOn ? 1 : 0;
     m_actions.emplace_back(std::move(action));
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -11,12 +11,12 @@
 #define HARELINK_KERNEL_REQUESTMACHINE_H
 
 #include "harelink/Kernel/claims.h"
+#include "harelink/Kernel/clienttimeoutmodel.h"
 #include "harelink/Kernel/crashes.h"
 #include "harelink/Kernel/endpointnotice.h"
 #include "harelink/Kernel/fairqueue.h"
 #include "harelink/Kernel/guards.h"
 #include "harelink/Kernel/latency.h"
-#include "harelink/Kernel/patiencemodel.h"
 #include "harelink/Kernel/pieces.h"
 #include "harelink/Kernel/pooldemand.h"
 #include "harelink/Kernel/proxied.h"
@@ -91,7 +91,7 @@
 };
 
 /// Event: a part of the answer to a call that streams.
-struct StagePiece
+struct StageChunk
 {
     CallId call;                  ///< As in StageAnswered.
     CallId echoed;                ///< As in StageAnswered.
@@ -108,7 +108,7 @@
     absl::Status status;
     /// The endpoint's own answer, where it failed by one.
     std::optional<ProxiedAnswer> proxied;
-    bool isOtherEndpoint = false;         ///< Another endpoint has taken over the address.
+    bool isEndpointReplaced = false;      ///< Another endpoint has taken over the address.
     bool inputsGone = false;              ///< Results that the request names are no longer kept.
     bool isBroken = false;                ///< The connection ended in the middle of the call.
     std::optional<EndpointNotice> notice; ///< Absent where nothing came from the endpoint.
@@ -142,9 +142,9 @@
     bool refusesBeforeRunning = false; ///< The endpoint's 429 and 503 mean that nothing ran.
     std::string traceparent;
     Duration timeout{};
-    bool streams = false;           ///< The answer is wanted as it comes, if that can be had.
-    std::uint64_t tokensBefore = 0; ///< Already passed on to the caller, from a stream that
-    std::string textBefore;         ///< broke: the answer is to go on right behind them.
+    bool streams = false;              ///< The answer is wanted as it comes, if that can be had.
+    std::uint64_t tokensDelivered = 0; ///< Already passed on to the caller, from a stream that
+    std::string textDelivered;         ///< broke: the answer is to go on right behind them.
     std::string account;
     int priority = 0; ///< 0 is the most urgent.
     std::shared_ptr<const ProxiedRequest> proxied;
@@ -187,7 +187,7 @@
 };
 
 /// Action: pass a part of the answer on to the caller.
-struct StreamPiece
+struct StreamChunk
 {
     RequestId id;
     std::uint64_t firstToken = 0;
@@ -216,22 +216,22 @@
     Duration retryAfter{}; ///< When to come back; zero where that is of no use.
     Duration elapsed{};
     Duration allowed{};
-    Duration firstPiece{};    ///< From the arrival to the first part of a stream, or zero.
-    std::uint64_t tokens = 0; ///< Passed on in parts.
+    Duration timeToFirstChunk{}; ///< From the arrival to the first part of a stream, or zero.
+    std::uint64_t tokens = 0;    ///< Passed on in parts.
     std::vector<StageCost> costs;
     /// The endpoint's answer, also a failure of its own, where the request was carried.
     std::optional<ProxiedAnswer> proxied;
     std::string callerId; ///< Of a proxied request.
     std::string endpoint; ///< Where it was sent last.
     std::uint32_t sends = 0;
-    Duration predicted{};   ///< At its admission, to the answer or its first event.
-    bool takenLate = false; ///< Was taken in although it would miss its objective.
-    Duration prepared{};    ///< From the arrival until all pieces were made; zero without.
+    Duration predicted{};      ///< At its admission, to the answer or its first event.
+    bool admittedLate = false; ///< Was taken in although it would miss its objective.
+    Duration prepared{};       ///< From the arrival until all pieces were made; zero without.
 };
 
 /// What a machine wants done.
 using RequestAction =
-    std::variant<SendStage, CancelStage, StreamPiece, AnswerCaller, ClaimRequest, ClaimFinish,
+    std::variant<SendStage, CancelStage, StreamChunk, AnswerCaller, ClaimRequest, ClaimFinish,
                  OrderPieces, WithdrawPieces, FreeResults, StreamEvents, EndpointReplaced,
                  EndpointNoticed, CallBroken, RequestCleared, CheckColdState>;
 
@@ -251,9 +251,9 @@
 /// How a machine limits itself.
 struct RequestLimits
 {
-    std::size_t mostRequests = 10'000; ///< In progress; more are refused.
-    int workers = 1;                   ///< Machines that share the endpoints.
-    RetryBudgetOptions retries;        ///< Of proxied requests.
+    std::size_t maxRequests = 10'000; ///< In progress; more are refused.
+    int workers = 1;                  ///< Machines that share the endpoints.
+    RetryBudgetOptions retries;       ///< Of proxied requests.
     /// How many daemons are alive, for shares that need no talk; null for this one alone.
     const std::atomic<int> *daemons = nullptr;
 };
@@ -273,7 +273,7 @@
     /// The events. \p snapshot is the configuration now in force.
     void handle(RequestArrived event, const Snapshot &snapshot);
     void handle(StageAnswered event, const Snapshot &snapshot);
-    void handle(const StagePiece &event, const Snapshot &snapshot);
+    void handle(const StageChunk &event, const Snapshot &snapshot);
     void handle(const StageEvent &event, const Snapshot &snapshot);
     void handle(const PieceEnded &event, const Snapshot &snapshot);
     void handle(const StageFailed &event, const Snapshot &snapshot);
@@ -289,7 +289,7 @@
     void abandonAll(const Snapshot &snapshot);
 
     /// Takes the actions that came up since the last call.
-    [[nodiscard]] std::vector<RequestAction> takeActions();
+    [[nodiscard]] std::vector<RequestAction> drainActions();
     /// When tick() is due at the latest; nothing while no request is there.
     [[nodiscard]] std::optional<TimePoint> nextTick() const;
     /// How many requests are in progress.
@@ -396,10 +396,10 @@
     TimePoint m_lastTurn;  ///< Of the last tick, answer or failure.
     TimePoint m_resumedAt; ///< When this process last woke from a long pause.
     double m_retryTokens;
-    std::map<std::string, RetryBudget> m_budgets;    ///< By pool.
-    std::map<std::string, PatienceModel> m_patience; ///< By pipeline.
-    std::map<std::string, double> m_forecastBias;    ///< By pipeline: real against predicted time.
-    std::size_t m_lateRequests = 0;                  ///< In progress that were taken in to be late.
+    std::map<std::string, RetryBudget> m_budgets;         ///< By pool.
+    std::map<std::string, ClientTimeoutModel> m_patience; ///< By pipeline.
+    std::map<std::string, double> m_forecastBias; ///< By pipeline: real against predicted time.
+    std::size_t m_lateRequests = 0;               ///< In progress that were taken in to be late.
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<Request>> m_requests;
     // Ordered, so that the same events always give the same actions.
     std::map<std::string, std::unique_ptr<PoolState>> m_pools;
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -46,7 +46,7 @@
 BasicRequestMachine<G>::~BasicRequestMachine() = default;
 
 template <GuardPolicy G>
-std::vector<RequestAction> BasicRequestMachine<G>::takeActions()
+std::vector<RequestAction> BasicRequestMachine<G>::drainActions()
 {
     return std::exchange(m_actions, {});
 }
@@ -153,7 +153,7 @@
         answer.retryAfter = left;
         return answer;
     }
-    if (m_requests.size() >= m_limits.mostRequests) {
+    if (m_requests.size() >= m_limits.maxRequests) {
         return refusal(Reason::TooManyRequests, absl::StatusCode::kResourceExhausted, "admission",
                        "", "as many requests as allowed are in progress");
     }
--- a/include/harelink/Kernel/requestmachinestate.h
+++ b/include/harelink/Kernel/requestmachinestate.h
@@ -127,7 +127,7 @@
     bool streams = false;
     std::uint64_t tokens = 0; ///< Passed on to the caller, with their text.
     std::string text;
-    Duration firstPiece{};
+    Duration timeToFirstChunk{};
     bool sentUnsettled = false; ///< A send of the current stage may have run.
     std::string previous;
     std::string endpoint; ///< Of the call in progress, or of the last one that failed.
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -62,7 +62,7 @@
         }
     }
     request.pipeline.stages = {{"serve", pool}};
-    request.spent = m_patience[request.pipeline.name].note(request.deadline - now);
+    request.spent = m_patience[request.pipeline.name].record(request.deadline - now);
     request.deadline = std::min<TimePoint>(request.deadline, now + request.pipeline.deadline);
     request.wanted = std::min<TimePoint>(request.deadline, now + route.objective - request.spent);
     Duration patience = request.deadline - now;
@@ -78,7 +78,7 @@
     const AccountEntry *account = snapshot.account(request.account);
     const bool ofAccount = account != nullptr && account->spec.priority;
     request.priority = ofAccount ? *account->spec.priority : route.priority;
-    budgetOf(pool).noteRequest(now);
+    budgetOf(pool).recordRequest(now);
 }
 
 // Admission -------------------------------------------------------------------
@@ -512,8 +512,8 @@
     if (!request->headPassedOn) {
         recordNotice(*request, event.notice, snapshot);
     }
-    if (request->firstPiece == Duration{}) {
-        request->firstPiece = m_clock.now() - request->arrivedAt;
+    if (request->timeToFirstChunk == Duration{}) {
+        request->timeToFirstChunk = m_clock.now() - request->arrivedAt;
         learnForecast(*request);
         unbookPrompt(*request, snapshot);
     }
--- a/include/harelink/Kernel/retrybudget.h
+++ b/include/harelink/Kernel/retrybudget.h
@@ -33,9 +33,9 @@
     explicit RetryBudget(const RetryBudgetOptions &options);
 
     /// A caller's request for the pool came in.
-    void noteRequest(TimePoint now);
+    void recordRequest(TimePoint now);
     /// A call beyond the first of its request was sent.
-    void noteRepeat(TimePoint now);
+    void recordRetry(TimePoint now);
     /// Whether one more may be sent.
     ///
     /// \param daemons among which the allowance is divided; at least 1.
--- a/lib/Adapters/stageprotocol.cpp
+++ b/lib/Adapters/stageprotocol.cpp
@@ -146,13 +146,13 @@
 StageStream::StageStream(const StageProtocol &protocol, const SendStage &stage)
     : m_protocol(protocol)
     , m_stage(stage)
-    , m_tokens(stage.tokensBefore)
+    , m_tokens(stage.tokensDelivered)
 {
 }
 
-std::vector<StagePiece> StageStream::take(const HttpResult &head, const std::string &body)
+std::vector<StageChunk> StageStream::take(const HttpResult &head, const std::string &body)
 {
-    std::vector<StagePiece> pieces;
+    std::vector<StageChunk> pieces;
     if (head.header("content-type").rfind(eventStreamType, 0) != 0) {
         m_refusal += body;
         return pieces;
@@ -172,7 +172,7 @@
         if (event->text.empty()) {
             continue;
         }
-        StagePiece piece;
+        StageChunk piece;
         piece.call = m_stage.call;
         piece.echoed = callIdOf(head);
         piece.firstToken = m_tokens++;
@@ -197,7 +197,7 @@
     if (!m_ended) {
         return cutAnswer(m_stage, "the stream ended before its last event");
     }
-    return answered(m_stage, result, m_protocol.wholeAnswer(m_stage.textBefore + m_text));
+    return answered(m_stage, result, m_protocol.wholeAnswer(m_stage.textDelivered + m_text));
 }
 
 } // namespace harelink
--- a/lib/Config/settings.cpp
+++ b/lib/Config/settings.cpp
@@ -28,7 +28,7 @@
     settings.workers = static_cast<int>(reader.integer("workers", 1, mostThreads, 2));
     settings.listenerThreads =
         static_cast<int>(reader.integer("listenerThreads", 1, mostThreads, 2));
-    settings.mostRequests = static_cast<std::size_t>(
+    settings.maxRequests = static_cast<std::size_t>(
         reader.integer("requestsPerWorker", 1, mostRequestsAllowed, 10'000));
     settings.platformTimeout = reader.milliseconds("platformTimeoutMs", milliseconds(10), oneMinute,
                                                    settings.platformTimeout);
--- a/lib/Daemon/callerapi.cpp
+++ b/lib/Daemon/callerapi.cpp
@@ -166,7 +166,7 @@
     return reply;
 }
 
-HttpReply makeStreamBegin(const StreamPiece &piece)
+HttpReply makeStreamBegin(const StreamChunk &piece)
 {
     HttpReply reply = makeStreamPart(piece);
     reply.contentType = std::string(eventStreamType);
@@ -175,7 +175,7 @@
     return reply;
 }
 
-HttpReply makeStreamPart(const StreamPiece &piece)
+HttpReply makeStreamPart(const StreamChunk &piece)
 {
     const nlohmann::json data = {{"token", piece.firstToken}, {"text", piece.text}};
     HttpReply reply;
--- a/lib/Daemon/metrics.cpp
+++ b/lib/Daemon/metrics.cpp
@@ -103,7 +103,7 @@
     m_attained[names] += attained ? 1 : 0;
     m_requestSeconds[names].add(answer.elapsed);
     if (answer.tokens > 0) {
-        m_firstTokenSeconds[names].add(answer.firstPiece);
+        m_firstTokenSeconds[names].add(answer.timeToFirstChunk);
     }
     for (const StageCost &cost : answer.costs) {
         const std::string stage = fmt::format("{},stage=\"{}\"", names, cost.stage);
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -16,7 +16,7 @@
 RequestLimits limitsOf(const Settings &settings, const std::atomic<int> &daemons)
 {
     RequestLimits limits;
-    limits.mostRequests = settings.mostRequests;
+    limits.maxRequests = settings.maxRequests;
     limits.workers = settings.workers;
     limits.retries = {settings.retryRatio, settings.retryAllowance, settings.retryWindow};
     limits.daemons = &daemons;
@@ -206,7 +206,7 @@
 
 void Worker::carryOut()
 {
-    for (RequestAction &action : m_machine.takeActions()) {
+    for (RequestAction &action : m_machine.drainActions()) {
         std::visit([this](auto &&what) { perform(std::forward<decltype(what)>(what)); },
                    std::move(action));
     }
@@ -276,7 +276,7 @@
         feedAny(stream->finish(result));
     };
     const auto part = [this, stream](const HttpResult &head, const std::string &body) {
-        for (StagePiece &piece : stream->take(head, body)) {
+        for (StageChunk &piece : stream->take(head, body)) {
             feed(std::move(piece));
         }
     };
@@ -346,9 +346,9 @@
         .field("elapsedMs", fmt::format("{:.1f}", toMilliseconds(action.elapsed)))
         .field("allowedMs", fmt::format("{:.0f}", toMilliseconds(action.allowed)))
         .field("predictedMs", fmt::format("{:.0f}", toMilliseconds(action.predicted)))
-        .field("takenLate", action.takenLate ? "yes" : "")
+        .field("takenLate", action.admittedLate ? "yes" : "")
         .field("preparedMs", fmt::format("{:.1f}", toMilliseconds(action.prepared)))
-        .field("firstEventMs", fmt::format("{:.1f}", toMilliseconds(action.firstPiece)))
+        .field("firstEventMs", fmt::format("{:.1f}", toMilliseconds(action.timeToFirstChunk)))
         .field("events", action.tokens)
         .field("retryAfterMs",
                served ? std::string() : fmt::format("{:.0f}", toMilliseconds(action.retryAfter)));
@@ -421,7 +421,7 @@
     m_control.cleared(action);
 }
 
-void Worker::perform(const StreamPiece &action)
+void Worker::perform(const StreamChunk &action)
 {
     const auto found = m_callers.find(action.id.sequence);
     assert(found != m_callers.end() && "nothing is streamed after the answer's end");
--- a/lib/Kernel/patiencemodel.cpp
+++ b/lib/Kernel/clienttimeoutmodel.cpp
@@ -1,6 +1,6 @@
-//===- patiencemodel.cpp - Time callers spent -----------------------------===//
+//===- clienttimeoutmodel.cpp - Time callers spent -----------------------------===//
 
-#include "harelink/Kernel/patiencemodel.h"
+#include "harelink/Kernel/clienttimeoutmodel.h"
 
 #include <algorithm>
 #include <chrono>
@@ -21,7 +21,7 @@
 } // namespace
 
 /// The longest time that callers usually allow; zero where no time is usual.
-Duration PatienceModel::usual() const
+Duration ClientTimeoutModel::usual() const
 {
     const std::size_t count = std::min(m_noted, sampleCount);
     const std::size_t needed = std::max(leastUsual, count / usualPart);
@@ -36,7 +36,7 @@
     return Duration::zero();
 }
 
-Duration PatienceModel::note(Duration allowed)
+Duration ClientTimeoutModel::record(Duration allowed)
 {
     m_samples[m_noted++ % sampleCount] = allowed;
     const Duration spent = usual() - allowed;
--- a/lib/Kernel/piecebatcher.cpp
+++ b/lib/Kernel/piecebatcher.cpp
@@ -196,7 +196,8 @@
             keep(line, endpoint, flight, event, m_clock.now(), entry->spec.pieces->resultLife);
         }
     }
-    const bool refused = event.evidence == SendEvidence::RefusedBeforeRun && !event.isOtherEndpoint;
+    const bool refused =
+        event.evidence == SendEvidence::RefusedBeforeRun && !event.isEndpointReplaced;
     // Nothing was begun, so it costs nothing to send it to another endpoint from here.
     const bool untouched =
         !event.answered && (refused || event.evidence == SendEvidence::NothingSent);
@@ -213,7 +214,7 @@
         const std::string handle = event.answered ? event.results[i].handle : std::string();
         settle(pool, item, endpoint, handle, refused ? PieceFault::Refused : fault);
     }
-    if (event.isOtherEndpoint) {
+    if (event.isEndpointReplaced) {
         m_replaced.push_back(endpoint);
     }
 }
--- a/lib/Kernel/piecerouter.cpp
+++ b/lib/Kernel/piecerouter.cpp
@@ -50,7 +50,7 @@
                          const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    budgetOf(pool).noteRequest(now);
+    budgetOf(pool).recordRequest(now);
     std::vector<Pending> group;
     for (const PieceOrder &order : orders) {
         Pending pending;
@@ -237,7 +237,7 @@
         finish(id, fault);
         return;
     }
-    budgetOf(pending.pool).noteRepeat(now);
+    budgetOf(pending.pool).recordRetry(now);
     ++m_reorders;
     std::vector<Pending> group;
     group.push_back(std::move(pending));
--- a/lib/Kernel/retrybudget.cpp
+++ b/lib/Kernel/retrybudget.cpp
@@ -31,12 +31,12 @@
     return m_slots[static_cast<std::size_t>(m_current) % slotCount];
 }
 
-void RetryBudget::noteRequest(TimePoint now)
+void RetryBudget::recordRequest(TimePoint now)
 {
     ++slotAt(now).requests;
 }
 
-void RetryBudget::noteRepeat(TimePoint now)
+void RetryBudget::recordRetry(TimePoint now)
 {
     ++slotAt(now).repeats;
 }
--- a/lib/Plugins/stageprotocols.cpp
+++ b/lib/Plugins/stageprotocols.cpp
@@ -99,10 +99,10 @@
     /// become part of the prompt, as any completions call allows.
     static void resume(const SendStage &stage, nlohmann::json &body)
     {
-        body["prompt"] = body["prompt"].get<std::string>() + stage.textBefore;
+        body["prompt"] = body["prompt"].get<std::string>() + stage.textDelivered;
         if (body["max_tokens"].is_number_integer()) {
             const auto wanted = body["max_tokens"].get<std::int64_t>();
-            const auto before = static_cast<std::int64_t>(stage.tokensBefore);
+            const auto before = static_cast<std::int64_t>(stage.tokensDelivered);
             body["max_tokens"] = std::max<std::int64_t>(0, wanted - before);
         }
     }
--- a/test/sim/checks.cpp
+++ b/test/sim/checks.cpp
@@ -111,7 +111,7 @@
     }
 }
 
-void Checks::streamed(const StreamPiece &piece)
+void Checks::streamed(const StreamChunk &piece)
 {
     Submission &submission = m_submissions.at(piece.id);
     if (submission.answered) {
--- a/test/sim/checks.h
+++ b/test/sim/checks.h
@@ -56,7 +56,7 @@
     void takenIn(const RequestId &id, Duration allowed);
     void answered(const AnswerCaller &answer);
     void sent(const SendStage &stage);
-    void streamed(const StreamPiece &piece);
+    void streamed(const StreamChunk &piece);
     /// \p wokeLately: from a host that was suspended until a moment ago.
     void arrivedAtEndpoint(const std::string &endpointName, const FakeEndpoint &endpoint,
                            const SendStage &stage, bool wokeLately);
--- a/test/sim/loadworld.h
+++ b/test/sim/loadworld.h
@@ -263,14 +263,14 @@
 
     void pump(Host &host)
     {
-        for (RequestAction &action : host.machine->takeActions()) {
+        for (RequestAction &action : host.machine->drainActions()) {
             std::visit([&](const auto &what) { perform(host, what); }, action);
         }
     }
 
     void perform(Host &, const AnswerCaller &action) { m_report.answered(action); }
     void perform(Host &, const ClaimFinish &) {}
-    void perform(Host &, const StreamPiece &) {}
+    void perform(Host &, const StreamChunk &) {}
     void perform(Host &, const CallBroken &) {}
     /// Only proxied requests bring the other actions, and none is sent here.
     template <typename Action>
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -483,7 +483,7 @@
         if (!host.alive) {
             return;
         }
-        for (RequestAction &action : host.requests->takeActions()) {
+        for (RequestAction &action : host.requests->drainActions()) {
             std::visit([&](const auto &what) { perform(host, what); }, action);
         }
         ControlOutput output = host.control->drainOutput();
@@ -562,7 +562,7 @@
 
     void perform(Host &, const AnswerCaller &action) { m_checks.answered(action); }
     void perform(Host &, const CancelStage &) {}
-    void perform(Host &, const StreamPiece &action) { m_checks.streamed(action); }
+    void perform(Host &, const StreamChunk &action) { m_checks.streamed(action); }
     /// Only proxied requests bring the other actions, and none is sent here.
     template <typename Action>
     void perform(Host &, const Action &)
@@ -754,8 +754,8 @@
         const std::uint64_t generation = endpoint.generation;
         const bool breaks = m_random.chance(m_faults.brokenCall);
         if (stage.streams) {
-            const auto breakAt = breaks ? stage.tokensBefore + m_random.below(4) : UINT64_MAX;
-            streamNext({name, start, stage, generation, time / 4, breakAt}, stage.tokensBefore);
+            const auto breakAt = breaks ? stage.tokensDelivered + m_random.below(4) : UINT64_MAX;
+            streamNext({name, start, stage, generation, time / 4, breakAt}, stage.tokensDelivered);
             return;
         }
         m_queue.after(time + networkDelay(), [=, this] {
@@ -879,7 +879,7 @@
             const std::string whole = answerTo(stream.stage);
             const std::size_t at = token * tokenLength;
             const bool died = m_endpoints.at(stream.stage.endpoint).generation != stream.generation;
-            StagePiece piece;
+            StageChunk piece;
             piece.call = stream.stage.call;
             piece.echoed = stream.stage.call;
             piece.firstToken = token;
--- a/unittests/Adapters/stagestreamtest.cpp
+++ b/unittests/Adapters/stagestreamtest.cpp
@@ -48,8 +48,8 @@
         stage.call = {{1, 2}, 3, 4};
         stage.request = R"({"nonce":"n","maxTokens":10})";
         stage.streams = true;
-        stage.tokensBefore = 2;
-        stage.textBefore = " a b";
+        stage.tokensDelivered = 2;
+        stage.textDelivered = " a b";
         head.status = 200;
         head.headers = {{"content-type", "text/event-stream"},
                         {"x-request-id", toText(stage.call)}};
--- /dev/null
+++ b/unittests/Kernel/clienttimeoutmodeltest.cpp
@@ -0,0 +1,73 @@
+//===- clienttimeoutmodeltest.cpp - Tests of the time callers spent ------------===//
+
+#include "harelink/Kernel/clienttimeoutmodel.h"
+
+#include <CppUTest/TestHarness.h>
+
+#include <chrono>
+
+using namespace harelink;
+using std::chrono::milliseconds;
+
+namespace {
+
+ClientTimeoutModel modelOf(milliseconds usual)
+{
+    ClientTimeoutModel model;
+    for (int i = 0; i < 40; ++i) {
+        (void)model.record(usual - milliseconds(i % 9));
+    }
+    return model;
+}
+
+} // namespace
+
+TEST_GROUP(ClientTimeoutModel){};
+
+TEST(ClientTimeoutModel, WhoComesBackAllowsLessThanFirstTries)
+{
+    ClientTimeoutModel model = modelOf(milliseconds(6000));
+    CHECK(model.record(milliseconds(5995)) == Duration::zero());
+    const Duration spent = model.record(milliseconds(4800));
+    CHECK(spent >= milliseconds(1150));
+    CHECK(spent <= milliseconds(1250));
+}
+
+TEST(ClientTimeoutModel, NothingIsConcludedFromFewRequests)
+{
+    ClientTimeoutModel model;
+    (void)model.record(milliseconds(6000));
+    CHECK(model.record(milliseconds(2000)) == Duration::zero());
+}
+
+TEST(ClientTimeoutModel, AFewMorePatientCallersDoNotMakeTheOthersLate)
+{
+    ClientTimeoutModel model;
+    for (int i = 0; i < 60; ++i) {
+        const bool isPatient = i % 10 == 0;
+        const Duration spent = model.record(milliseconds(isPatient ? 20'000 : 6000));
+        CHECK(spent == Duration::zero());
+    }
+}
+
+TEST(ClientTimeoutModel, WhereCallersDifferNobodyIsTakenForOneThatComesBack)
+{
+    ClientTimeoutModel model;
+    for (int i = 0; i < 200; ++i) {
+        CHECK(model.record(milliseconds(1000 + 137 * (i % 31))) == Duration::zero());
+    }
+}
+
+TEST(ClientTimeoutModel, HalfOfAllMayComeBackAndAChangeIsFollowed)
+{
+    ClientTimeoutModel model = modelOf(milliseconds(6000));
+    for (int i = 0; i < 64; ++i) {
+        const bool comesBack = i % 2 == 1;
+        const Duration spent = model.record(milliseconds(comesBack ? 4000 + 40 * (i % 11) : 6000));
+        CHECK(comesBack == (spent > Duration::zero()));
+    }
+    for (int i = 0; i < 40; ++i) {
+        (void)model.record(milliseconds(3000));
+    }
+    CHECK(model.record(milliseconds(3000)) == Duration::zero());
+}
--- a/unittests/Kernel/kernelfixture.h
+++ b/unittests/Kernel/kernelfixture.h
@@ -67,9 +67,9 @@
 
 /// A request machine with its clock and configuration.
 template <GuardPolicy G>
-struct MachineBench
+struct MachineFixture
 {
-    explicit MachineBench(int endpoints = 2, int slots = 4)
+    explicit MachineFixture(int endpoints = 2, int slots = 4)
         : snapshot(buildSnapshot(smallConfiguration(endpoints, slots), 1, "dc1", nullptr))
         , machine(clock, Registry<RoutingPolicy>::instance().make("power-of-two"), 1, {})
     {
@@ -126,13 +126,13 @@
     }
     void collect()
     {
-        const std::vector<RequestAction> actions = machine.takeActions();
+        const std::vector<RequestAction> actions = machine.drainActions();
         const auto append = [](auto &to, auto from) {
             to.insert(to.end(), from.begin(), from.end());
         };
         append(sends, only<SendStage>(actions));
         append(cancels, only<CancelStage>(actions));
-        append(pieces, only<StreamPiece>(actions));
+        append(pieces, only<StreamChunk>(actions));
         append(answers, only<AnswerCaller>(actions));
         append(claims, only<ClaimRequest>(actions));
         append(finishes, only<ClaimFinish>(actions));
@@ -144,7 +144,7 @@
     std::uint64_t lastSequence = 0;
     std::vector<SendStage> sends;
     std::vector<CancelStage> cancels;
-    std::vector<StreamPiece> pieces;
+    std::vector<StreamChunk> pieces;
     std::vector<AnswerCaller> answers;
     std::vector<ClaimRequest> claims;
     std::vector<ClaimFinish> finishes;
--- a/unittests/Kernel/overloadtest.cpp
+++ b/unittests/Kernel/overloadtest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using Bench = MachineBench<AllGuards>;
+using Bench = MachineFixture<AllGuards>;
 
 struct AdmitsEverything : AllGuards
 {
@@ -34,7 +34,7 @@
 template <GuardPolicy G>
 BurstResult burstBeforeANarrowSecondStage()
 {
-    MachineBench<G> bench(1, 1);
+    MachineFixture<G> bench(1, 1);
     auto serve = [&bench, served = std::size_t(0),
                   due = std::multimap<TimePoint, CallId>()]() mutable {
         for (;;) {
--- a/unittests/Kernel/proxiedfixture.h
+++ b/unittests/Kernel/proxiedfixture.h
@@ -157,7 +157,7 @@
     }
     void collect()
     {
-        const std::vector<RequestAction> actions = machine.takeActions();
+        const std::vector<RequestAction> actions = machine.drainActions();
         const auto append = [](auto &to, auto from) {
             to.insert(to.end(), from.begin(), from.end());
         };
--- a/unittests/Kernel/proxiedtest.cpp
+++ b/unittests/Kernel/proxiedtest.cpp
@@ -108,7 +108,7 @@
     StageFailed event;
     event.call = bench.sends[0].call;
     event.evidence = SendEvidence::RefusedBeforeRun;
-    event.isOtherEndpoint = true;
+    event.isEndpointReplaced = true;
     bench.machine.handle(event, *bench.snapshot);
     bench.collect();
     LONGS_EQUAL(1, bench.replaced.size());
@@ -312,7 +312,7 @@
 TEST(Proxied, ManyDaemonsTakeNoMoreLateOnesInThanFew)
 {
     // A tenth of the daemons take one in at a time, ten times as seldom.
-    const auto takenLate = [](int daemons) {
+    const auto admittedLate = [](int daemons) {
         int taken = 0;
         for (int daemon = 0; daemon < 40; ++daemon) {
             ProxiedFixture bench(3, daemons, static_cast<std::uint64_t>(daemon));
@@ -322,8 +322,8 @@
         }
         return taken;
     };
-    LONGS_EQUAL(40, takenLate(9));
-    const int ofMany = takenLate(360);
+    LONGS_EQUAL(40, admittedLate(9));
+    const int ofMany = admittedLate(360);
     CHECK(ofMany > 0);
     CHECK(ofMany < 12);
 }
--- a/unittests/Kernel/queuepacetest.cpp
+++ b/unittests/Kernel/queuepacetest.cpp
@@ -23,10 +23,10 @@
 constexpr std::size_t burstSize = 40;
 
 /// Records, whose calls take callTime; their requests have a second.
-struct PaceBench : MachineBench<AllGuards>
+struct PaceBench : MachineFixture<AllGuards>
 {
     explicit PaceBench(int endpoints = 2, int slots = 4)
-        : MachineBench(endpoints, slots)
+        : MachineFixture(endpoints, slots)
     {
         serve();
     }
--- a/unittests/Kernel/requestmachinetest.cpp
+++ b/unittests/Kernel/requestmachinetest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-using Bench = MachineBench<AllGuards>;
+using Bench = MachineFixture<AllGuards>;
 
 struct AnyAnswerCounts : AllGuards
 {
@@ -41,7 +41,7 @@
 template <GuardPolicy G>
 std::string bodyAfterALateAnswer()
 {
-    MachineBench<G> bench;
+    MachineFixture<G> bench;
     bench.arrive("answer");
     const CallId first = bench.sends.at(0).call;
     bench.failCall(first, SendEvidence::Sent);
@@ -55,7 +55,7 @@
 template <GuardPolicy G>
 std::size_t sendsAfterABrokenRecord()
 {
-    MachineBench<G> bench;
+    MachineFixture<G> bench;
     const RequestId id = bench.arrive("record", "drivers", "k1");
     bench.decide(id, ClaimVerdict::Granted);
     bench.failCall(bench.sends.at(0).call, SendEvidence::Sent);
@@ -65,7 +65,7 @@
 template <GuardPolicy G>
 Outcome outcomeOfABrokenRecord()
 {
-    MachineBench<G> bench;
+    MachineFixture<G> bench;
     const RequestId id = bench.arrive("record", "drivers", "k1");
     bench.decide(id, ClaimVerdict::Granted);
     bench.failCall(bench.sends.at(0).call, SendEvidence::Sent);
--- a/unittests/Kernel/retrybudgettest.cpp
+++ b/unittests/Kernel/retrybudgettest.cpp
@@ -20,10 +20,10 @@
     std::deque<TimePoint> repeats;
     const TimePoint start{std::chrono::hours(1)};
     for (TimePoint now = start; now < start + std::chrono::seconds(60); now += milliseconds(25)) {
-        budget.noteRequest(now);
+        budget.recordRequest(now);
         requests.push_back(now);
         if (budget.allows(now, 4)) {
-            budget.noteRepeat(now);
+            budget.recordRetry(now);
             repeats.push_back(now);
         }
         for (auto *times : {&requests, &repeats}) {
@@ -43,7 +43,7 @@
     const TimePoint start{std::chrono::hours(1)};
     int first = 0;
     while (budget.allows(start, 1)) {
-        budget.noteRepeat(start);
+        budget.recordRetry(start);
         ++first;
     }
     LONGS_EQUAL(6, first);
--- a/unittests/Kernel/streamtest.cpp
+++ b/unittests/Kernel/streamtest.cpp
@@ -19,7 +19,7 @@
 
 /// A request whose last stage streams.
 template <GuardPolicy G>
-struct StreamBench : MachineBench<G>
+struct StreamBench : MachineFixture<G>
 {
     StreamBench()
     {
@@ -35,13 +35,13 @@
     }
     void piece(const CallId &call, std::uint64_t token, const std::string &text)
     {
-        this->machine.handle(StagePiece{call, call, token, 1, text}, *this->snapshot);
+        this->machine.handle(StageChunk{call, call, token, 1, text}, *this->snapshot);
         this->collect();
     }
     [[nodiscard]] std::string streamed() const
     {
         std::string text;
-        for (const StreamPiece &part : this->pieces) {
+        for (const StreamChunk &part : this->pieces) {
             text += part.text;
         }
         return text;
@@ -84,8 +84,8 @@
     bench.piece(first, 0, "a");
     bench.piece(first, 1, "b");
     bench.failCall(first, SendEvidence::Sent);
-    CHECK_EQUAL(2u, bench.sends.back().tokensBefore);
-    STRCMP_EQUAL("ab", bench.sends.back().textBefore.c_str());
+    CHECK_EQUAL(2u, bench.sends.back().tokensDelivered);
+    STRCMP_EQUAL("ab", bench.sends.back().textDelivered.c_str());
     CHECK_EQUAL(1u, bench.machine.counters().resumedStreams);
 }
 
@@ -104,7 +104,7 @@
     bench.piece(first, 2, "c");
     STRCMP_EQUAL("a", bench.streamed().c_str());
     CHECK(bench.cancels.at(0).call == first);
-    CHECK_EQUAL(1u, bench.sends.back().tokensBefore);
+    CHECK_EQUAL(1u, bench.sends.back().tokensDelivered);
 }
 
 TEST(Stream, AStreamThatCannotGoOnEndsHonestly)
@@ -131,7 +131,7 @@
 
 TEST(Stream, ARecordGoesOnWithoutItsCaller)
 {
-    MachineBench<AllGuards> bench;
+    MachineFixture<AllGuards> bench;
     const RequestId id = bench.arrive("record", "drivers", "k1");
     bench.decide(id, ClaimVerdict::Granted);
     bench.machine.handle(CallerGone{id}, *bench.snapshot);
--- a/unittests/Platform/requeststest.cpp
+++ b/unittests/Platform/requeststest.cpp
@@ -185,7 +185,7 @@
     const auto failed = dialect.decode(sent, result(503, {{"X-Request-Id", "r-1"}}));
     CHECK(std::get<StageFailed>(failed).evidence == SendEvidence::Sent);
     const auto other = dialect.decode(sent, result(421, {}));
-    CHECK(std::get<StageFailed>(other).isOtherEndpoint);
+    CHECK(std::get<StageFailed>(other).isEndpointReplaced);
     HttpResult silent;
     silent.sent = true;
     CHECK(std::get<StageFailed>(dialect.decode(sent, silent)).evidence == SendEvidence::Sent);
--- a/utils/bench/kernel.cpp
+++ b/utils/bench/kernel.cpp
@@ -49,7 +49,7 @@
 int answerCalls(RequestMachine &machine, const Snapshot &snapshot)
 {
     int answered = 0;
-    for (RequestAction &action : machine.takeActions()) {
+    for (RequestAction &action : machine.drainActions()) {
         if (const auto *send = std::get_if<SendStage>(&action)) {
             StageAnswered event;
             event.call = send->call;
--- a/utils/bench/policies.cpp
+++ b/utils/bench/policies.cpp
@@ -122,7 +122,7 @@
 std::array<double, 10> playAdmission(Trouble trouble, std::size_t limit, int seed)
 {
     LoadSetup setup = standardSetup(seed);
-    setup.limits.mostRequests = limit;
+    setup.limits.maxRequests = limit;
     LoadWorld<G> world(setup);
     const double base = trouble == Trouble::SlowStage ? 0.9 : 0.6;
     addEvenLoad(world, base * capacity, seconds(0), seconds(12));
@@ -165,7 +165,7 @@
         {"rerank down for 7 s", Trouble::LongDeadStage}};
     for (const auto &[name, trouble] : troubles) {
         fmt::print("admission: {}\n", name);
-        const std::size_t unlimited = RequestLimits{}.mostRequests;
+        const std::size_t unlimited = RequestLimits{}.maxRequests;
         admission<AllGuards>("harelink", trouble, unlimited);
         admission<NoAdmission>("queue only", trouble, unlimited);
         admission<NoAdmission>("fixed limit", trouble, fixedLimit);
