--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -162,7 +162,7 @@
     if (record.state == ClaimRecord::State::Abandoned) {
         return {ClaimVerdict::MayHaveRun, {}};
     }
-    const bool own = G::claimantIsRequest
+    const bool own = G::claimsPerRequest
                          ? record.claimant == request.claimant
                          : record.claimant.incarnation == request.claimant.incarnation;
     if (own) {
@@ -388,7 +388,7 @@
         return;
     case PlatformOutcome::Unanswered:
         ++m_counters.unansweredCalls;
-        if (!G::settlesByVersion) {
+        if (!G::resolvesWritesByVersion) {
             commit(bucket, bucket.version);
             return;
         }
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -65,7 +65,7 @@
     if (isNew) {
         m_summary += hashOf(key, entry.seen);
     }
-    if (G::dropsOlderNews && news.version <= entry.seen) {
+    if (G::dropsStaleUpdates && news.version <= entry.seen) {
         m_droppedUpdates += news.version < entry.seen ? 1 : 0;
         return false;
     }
@@ -85,7 +85,8 @@
     if (!takeLife(news, entry, *read)) {
         return false;
     }
-    assert((!G::dropsOlderNews || news.version > entry.inForce) && "a version in force only rises");
+    assert((!G::dropsStaleUpdates || news.version > entry.inForce)
+           && "a version in force only rises");
     entry.resources = *std::move(read);
     entry.inForce = news.version;
     return true;
@@ -129,7 +130,7 @@
     if (life == nullptr) {
         return true;
     }
-    if (G::dropsOlderNews && life->startedAt < entry.latestStartedAt) {
+    if (G::dropsStaleUpdates && life->startedAt < entry.latestStartedAt) {
         entry.fault = fmt::format("{} has started again since", life->name);
         m_faults.push_back(
             {news.kind, news.name, news.version, entry.fault, !entry.resources.empty()});
