--- a/include/harelink/Kernel/peerdemand.h
+++ b/include/harelink/Kernel/peerdemand.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/peerdemand.h - What waits at the peers ---*- C++ -*-===//
+//===- harelink/Kernel/peerdemand.h - Demand at the peers -------*- C++ -*-===//
 ///
 /// \file
-/// Sums up what the other daemons last told of their accounts' demand for each
-/// pool. What a silent daemon told is forgotten.
+/// Sums the demand of client accounts for pools as reported by other daemons. The
+/// demand of a daemon that stops reporting expires.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace harelink {
 
-/// The demand of all peers together: calls in flight and waiting.
+/// The total demand at all peers: calls in flight or queued.
 struct DemandTotal
 {
     std::string account;
@@ -26,21 +26,21 @@
     int calls = 0;
 };
 
-/// The sums.
+/// Totals of demand by client account and pool.
 class PeerDemand
 {
 public:
-    /// \param clock outlives this.
+    /// \param clock must outlive the totals.
     explicit PeerDemand(const Clock &clock)
         : m_totals(clock)
     {
     }
 
-    /// Takes in what \p host told; it replaces what that host told before.
+    /// Replaces the demand at \p host.
     void update(const std::string &host, const std::vector<UsageReport> &reports);
-    /// The same for what a relay told, which comes less often.
+    /// Replaces the demand that a relay reports as \p host, which is updated less often.
     void updateFromSummary(const std::string &host, const std::vector<UsageReport> &reports);
-    /// The sums that have changed since the last call; looks not too often.
+    /// Returns the totals that have changed since the last call; see PeerTotals::changes().
     [[nodiscard]] std::vector<DemandTotal> changes();
 
 private:
--- a/include/harelink/Kernel/peerrelay.h
+++ b/include/harelink/Kernel/peerrelay.h
@@ -1,17 +1,18 @@
 //===- harelink/Kernel/peerrelay.h - Heartbeats through relays --*- C++ -*-===//
 ///
 /// \file
-/// Decides whom this daemon sends heartbeats to, and sums up what it hears for others.
+/// Selects the receivers of this daemon's heartbeats, and aggregates received heartbeats
+/// into summaries for others.
 ///
-/// Options weighed: all daemons tell all (86 daemons sent 29,000 messages a second,
-/// which took more processor time than their requests); each tells a few that take
-/// turns (what is known is then seconds old); two relays in each data centre, which
-/// daemons find by rendezvous hashing over the hosts that they know. The last is what
-/// stands here, from a number of peers on; below it all tell all. Messages are four a
-/// heartbeat interval and daemon, besides one for each pair of data centres.
+/// Design alternatives: a full mesh (86 daemons sent 29,000 messages per second, which
+/// took more processor time than their requests); gossip with a few peers in turn (the
+/// information is then seconds old); two relays per data centre, which daemons find by
+/// rendezvous hashing over the hosts that they know. The last is implemented for more
+/// than a given number of peers, with a full mesh below it. It takes four messages per
+/// heartbeat interval and daemon, plus one for each pair of data centres.
 ///
-/// Nobody has to agree on who is a relay: whoever is asked for summaries gives them. A
-/// relay that falls silent is passed over after relaySilence.
+/// Daemons need not agree on the relays: a daemon that is asked for summaries sends them.
+/// A relay that does not reply is passed over after relayTimeout.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,102 +29,102 @@
 
 namespace harelink {
 
-/// The relay's part of one daemon.
+/// Sends one daemon's heartbeats, and acts as a relay for those who request it.
 class PeerRelay
 {
 public:
-    /// \param clock and \p membership outlive this.
-    /// \param maxMeshPeers with more peers heartbeats go through relays.
+    /// \param clock and \p membership must outlive the relay.
+    /// \param maxMeshPeers with more peers, heartbeats go through relays.
     PeerRelay(const Clock &clock, const Membership &membership, std::size_t maxMeshPeers);
 
-    /// Whether so many peers are known that heartbeats go through relays.
+    /// Returns whether the number of known peers is so high that heartbeats go through relays.
     [[nodiscard]] bool isRelayed() const;
-    /// Whom the heartbeats that are due now go to.
+    /// Returns the receivers of the heartbeats that are due now.
     [[nodiscard]] std::vector<HeartbeatTarget> targets();
-    /// Whether what a daemon of \p dataCentre tells in a heartbeat is not in any summary
-    /// that this daemon counts.
+    /// Returns whether this daemon uses the load in heartbeats from \p dataCentre, because no
+    /// summary that it uses includes it.
     [[nodiscard]] bool usesHeartbeatsFrom(const std::string &dataCentre) const;
-    /// Whether this daemon counts the figures of a summary that came from \p dataCentre.
+    /// Returns whether this daemon uses the load in summaries from \p dataCentre.
     [[nodiscard]] bool usesSummariesFrom(const std::string &dataCentre) const;
-    /// Takes in what a daemon told.
+    /// Handles a heartbeat of \p host.
     void handle(const std::string &host, const Heartbeat &heartbeat);
-    /// Takes in what a relay of another data centre told.
+    /// Handles a summary of a relay of \p dataCentre. Ignores those of this data centre.
     void handle(const std::string &dataCentre, const PeerSummary &summary);
-    /// Takes in that \p host sent a list of live hosts of \p dataCentre, of all where that is
-    /// empty, whose hash is \p hash.
+    /// Records that \p host sent a list of the live hosts of \p dataCentre, or of all data
+    /// centres if that is empty, and that its hash is \p hash.
     void recordHostList(const std::string &host, const std::string &dataCentre, std::uint64_t hash);
-    /// Takes in that \p host tells of a list with \p hash; whether it is the one that it sent
-    /// last, and holds still.
+    /// Renews the last list of \p host if its hash is \p hash and it is still valid. Returns
+    /// whether it was renewed.
     bool renewHostList(const std::string &host, std::uint64_t hash);
-    /// Whether this daemon is a relay of its data centre.
+    /// Returns whether this daemon is a relay of its data centre.
     [[nodiscard]] bool isRelay() const { return m_isRelay; }
-    /// The summaries that are due with the heartbeats.
+    /// Returns the summaries that are due with the heartbeats.
     ///
-    /// \param own what this daemon tells of itself.
+    /// \param own the load and configuration state of this daemon.
     [[nodiscard]] std::vector<PeerSend> summaries(const Heartbeat &own);
 
 private:
     using AccountPool = std::pair<std::string, std::string>;
-    struct Use
+    struct AccountUsage
     {
-        Duration time{}; ///< Since the last whole summary.
+        Duration time{}; ///< Since the last summary with usage.
         int demand = 0;
     };
-    /// What one daemon, or one other data centre, told last.
-    struct Told
+    /// The load that one daemon or another data centre reported last.
+    struct PeerLoad
     {
         TimePoint at;
         std::map<std::string, std::int64_t> prompts;
-        std::map<AccountPool, Use> usage;
+        std::map<AccountPool, AccountUsage> usage;
         std::vector<PieceBacklog> backlogs;
     };
-    using ToldBySource = std::map<std::string, Told>;
-    /// One that asked for summaries.
+    using LoadBySource = std::map<std::string, PeerLoad>;
+    /// A host that requested summaries.
     struct Subscriber
     {
-        TimePoint askedAt;
-        std::uint64_t knownHostsHash = 0; ///< As in Heartbeat.
+        TimePoint requestedAt;
+        std::uint64_t knownHostsHash = 0; ///< See Heartbeat.
     };
-    /// A list of hosts that was taken.
+    /// The last host list received from a relay.
     struct HostList
     {
-        std::string dataCentre; ///< As in recordHostList().
+        std::string dataCentre; ///< See recordHostList().
         std::uint64_t hash = 0;
-        TimePoint until; ///< Later its hosts do not count as reported any more.
+        TimePoint until; ///< Afterwards its hosts no longer count as reported.
     };
 
     [[nodiscard]] std::vector<std::string> ranked(const std::string &dataCentre) const;
-    [[nodiscard]] bool isSilent(const std::string &host) const;
-    void noticeSilence();
-    void ask(const std::string &host, std::vector<HeartbeatTarget> &targets);
-    [[nodiscard]] std::uint64_t hostsKnownOf(const std::string &host) const;
-    void askElsewhere(std::vector<HeartbeatTarget> &targets);
-    void introduce(std::vector<HeartbeatTarget> &targets);
-    void forgetOld();
-    [[nodiscard]] PeerSummary sum(const Told &own, const std::string &without, bool isLocal,
-                                  bool hasUsage) const;
+    [[nodiscard]] bool isUnresponsive(const std::string &host) const;
+    void detectUnresponsiveRelays();
+    void requestSummary(const std::string &host, std::vector<HeartbeatTarget> &targets);
+    [[nodiscard]] std::uint64_t knownHostsHashOf(const std::string &host) const;
+    void requestRemoteSummaries(std::vector<HeartbeatTarget> &targets);
+    void addIntroduction(std::vector<HeartbeatTarget> &targets);
+    void removeExpired();
+    [[nodiscard]] PeerSummary aggregate(const PeerLoad &own, const std::string &excludedHost,
+                                        bool isLocal, bool hasUsage) const;
     [[nodiscard]] bool isSummaryDue(const std::string &host, bool isUrgent) const;
-    [[nodiscard]] Duration tellingLife() const;
-    void add(const Told &told, Told &total) const;
-    static void update(Told &told, const std::vector<PromptBacklog> &prompts,
+    [[nodiscard]] Duration heartbeatTtl() const;
+    void add(const PeerLoad &load, PeerLoad &total) const;
+    static void update(PeerLoad &load, const std::vector<PromptBacklog> &prompts,
                        const std::vector<PieceBacklog> &backlogs, TimePoint now);
-    static void update(Told &told, const std::vector<UsageReport> &usage);
+    static void update(PeerLoad &load, const std::vector<UsageReport> &usage);
 
     const Clock &m_clock;
     const Membership &m_membership;
     std::size_t m_maxMeshPeers;
     bool m_isRelay = false;
-    std::uint32_t m_farewells = 0; ///< Heartbeats to everybody that this host leaves.
+    std::uint32_t m_leaveAnnouncements = 0; ///< Heartbeats to all peers that this host leaves.
     std::uint32_t m_introductions = 0;
-    std::uint32_t m_tellings = 0; ///< Heartbeats for the second relay, sent or not.
-    std::map<std::string, TimePoint> m_askedSince;
-    std::map<std::string, TimePoint> m_silentUntil;
+    std::uint32_t m_secondRelayHeartbeats = 0; ///< Due to the second relay, sent or skipped.
+    std::map<std::string, TimePoint> m_requestedSince;
+    std::map<std::string, TimePoint> m_unresponsiveUntil;
     std::map<std::string, Subscriber> m_subscribers;
     std::map<std::string, HostList> m_hostLists; ///< By the relay that sent it.
-    ToldBySource m_local;                        ///< By host of the own data centre.
-    ToldBySource m_elsewhere;                    ///< By data centre.
-    Told m_own;
-    std::uint64_t m_hostsBefore = 0; ///< The hash over all hosts at the last summaries.
+    LoadBySource m_local;                        ///< By host of this data centre.
+    LoadBySource m_remote;                       ///< By other data centre.
+    PeerLoad m_own;
+    std::uint64_t m_lastHostsHash = 0; ///< Over all hosts, when summaries were last made.
     std::uint32_t m_round = 0;
 };
 
--- a/include/harelink/Kernel/peers.h
+++ b/include/harelink/Kernel/peers.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/peers.h - What daemons tell each other ---*- C++ -*-===//
+//===- harelink/Kernel/peers.h - Messages between daemons -------*- C++ -*-===//
 ///
 /// \file
-/// The messages between daemons. Each may be lost, late, doubled or reordered;
-/// nothing that must hold depends on their coming.
+/// The messages between daemons. Each may be lost, delayed, duplicated or
+/// reordered; no invariant depends on their delivery.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,43 +23,43 @@
 
 namespace harelink {
 
-/// What an account has and wants of a pool at one daemon.
+/// The usage and demand of a client account for a pool at one daemon.
 struct UsageReport
 {
     std::string account;
     std::string pool;
-    Duration time{}; ///< Of endpoints, spent since the last heartbeat.
-    int demand = 0;  ///< Calls now in flight and waiting.
+    Duration time{}; ///< Endpoint time used since the last heartbeat.
+    int demand = 0;  ///< Calls currently in flight or queued.
 };
 
-/// What a daemon has sent to a model engine that is not read yet.
+/// Prompt tokens that a daemon has sent to a model engine and that are not processed yet.
 struct PromptBacklog
 {
     std::string endpoint;
     std::int64_t tokens = 0;
 };
 
-/// A daemon lives.
+/// Announces that a daemon is live, with its load and what it knows.
 struct Heartbeat
 {
     std::string dataCentre;
-    std::string address; ///< Where the sender listens for peers.
+    std::string address; ///< At which the sender listens for peers.
     bool leaving = false;
-    double capacity = 1;       ///< Of the sender's host, in cores of a processor.
-    bool wantsSummary = false; ///< The receiver is to be its relay.
+    double capacity = 1;       ///< Of the sender's host, in processor cores.
+    bool wantsSummary = false; ///< Requests the receiver to act as the sender's relay.
     std::vector<UsageReport> usage;
     std::vector<std::string> leavingEndpoints; ///< As far as the sender knows.
-    bool leavingKnown = false;                 ///< The sender has learnt of them itself.
-    std::vector<PieceBacklog> backlogs;        ///< Of the pools that it batches for.
-    std::vector<PromptBacklog> prompts;        ///< Of the model engines that it sends to.
+    bool leavingKnown = false;                 ///< The sender has an initial leavingEndpoints list.
+    std::vector<PieceBacklog> backlogs;        ///< Of the pools that the sender batches for.
+    std::vector<PromptBacklog> prompts;        ///< Of the model engines that the sender calls.
     std::vector<EndpointLimitReport> limits;   ///< As far as the sender knows.
-    std::uint64_t configSummary = 0;           ///< As in ConfigDigest.
-    bool watches = false;                      ///< As in ConfigDigest.
-    /// Of the list of hosts that the sender last had of the receiver; 0 for none.
+    std::uint64_t configSummary = 0;           ///< See ConfigDigest::summary.
+    bool watches = false;                      ///< See ConfigDigest::watches.
+    /// Hash of the host list that the sender last received from the receiver; 0 for none.
     std::uint64_t knownHostsHash = 0;
 };
 
-/// What a relay knows of one live host.
+/// The state of one live host as reported by a relay.
 struct HostReport
 {
     std::string host;
@@ -67,44 +67,45 @@
     std::string address;
     Incarnation incarnation = 0;
     bool leaving = false;
-    double capacity = 1; ///< In cores of a processor.
+    double capacity = 1; ///< In processor cores.
 };
 
-/// What a relay has heard, summed up without the receiver's own part: of all data
-/// centres for a daemon of its own, of its own data centre for a relay elsewhere.
+/// A relay's aggregate of the heartbeats that it received, without the receiver's own share.
+/// It covers all data centres if the receiver belongs to the relay's data centre, and only the
+/// relay's data centre if the receiver belongs to another one.
 struct PeerSummary
 {
     std::vector<PieceBacklog> backlogs;
     std::vector<PromptBacklog> prompts;
-    std::vector<EndpointLimitReport> limits; ///< As in Heartbeat.
+    std::vector<EndpointLimitReport> limits; ///< See Heartbeat.
     std::vector<std::string> leavingEndpoints;
     bool leavingKnown = false;
-    bool hasUsage = false;           ///< The usage is there, and complete.
-    std::vector<UsageReport> usage;  ///< Time: spent since the last whole summary.
-    std::uint64_t configSummary = 0; ///< As in ConfigDigest.
+    bool hasUsage = false;           ///< The usage is present and complete.
+    std::vector<UsageReport> usage;  ///< With the time used since the last summary with usage.
+    std::uint64_t configSummary = 0; ///< See ConfigDigest::summary.
     bool hasWatcher = false;         ///< A daemon of the sender's data centre watches the platform.
-    /// A hash over the live hosts that the sender tells of. The list itself, some 55 bytes a
-    /// host, is there only where the receiver had another one: with 300 hosts it was 94 of
-    /// 100 bytes that daemons sent each other.
+    /// A hash over the live hosts that the sender reports. The list itself, about 55 bytes per
+    /// host, is included only if the receiver's differs: with 300 hosts it made up 94% of the
+    /// bytes that daemons sent each other.
     std::uint64_t hostsHash = 0;
     bool hasHosts = false;
     std::vector<HostReport> hosts;
 };
 
-/// The end of a claimant is written.
+/// Confirms that the end of a claimant's request has been stored.
 struct ClaimFinished
 {
     RequestId claimant;
 };
 
-/// News of declared objects.
+/// Updates of declared objects.
 struct ConfigPush
 {
     std::vector<PlatformObject> objects;
 };
 
-/// What the sender has seen of the declared objects: a hash over their
-/// versions or, where that differed, the versions themselves.
+/// The versions of the declared objects that the sender has seen: a hash over them or, if the
+/// hashes differ, the versions themselves.
 struct ConfigDigest
 {
     struct Entry
@@ -115,33 +116,33 @@
     };
     std::uint64_t summary = 0;
     bool watches = false;  ///< The sender watches the platform.
-    bool detailed = false; ///< The entries are there.
-    bool reply = false;    ///< Answers a detailed digest, and is not answered by one.
+    bool detailed = false; ///< The entries are present.
+    bool reply = false;    ///< Replies to a detailed digest; shall not get a reply itself.
     std::vector<Entry> entries;
 };
 
-/// Messages that concern pieces; the control only hands them on.
+/// Messages that concern pieces; the control forwards them unread.
 template <typename Content>
 concept PieceContent =
     std::same_as<Content, PieceOrders> || std::same_as<Content, PieceOutcomes> || std::same_as<
         Content, PieceWithdrawal> || std::same_as<Content, PieceFrees>;
 
-/// One message.
+/// A message with its sender.
 struct PeerMessage
 {
-    std::string host;            ///< The sender's.
-    Incarnation incarnation = 0; ///< The sender's.
+    std::string host;            ///< Of the sender.
+    Incarnation incarnation = 0; ///< Of the sender.
     std::variant<Heartbeat, ClaimRequest, ClaimDecision, ClaimFinish, ClaimFinished, ConfigPush,
                  ConfigDigest, PieceOrders, PieceOutcomes, PieceWithdrawal, PieceFrees, PeerSummary,
                  CrashReports, CrashesCleared>
         content;
 };
 
-/// Action: send a message to a host.
+/// Action: sends a message to a host.
 struct PeerSend
 {
     std::string host;
-    std::string address; ///< IP number and port.
+    std::string address; ///< IP address and port.
     PeerMessage message;
 };
 
--- a/include/harelink/Kernel/peertotals.h
+++ b/include/harelink/Kernel/peertotals.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/peertotals.h - Sums of what peers told ---*- C++ -*-===//
+//===- harelink/Kernel/peertotals.h - Totals over peers ---------*- C++ -*-===//
 ///
 /// \file
-/// Sums up figures that the other daemons last told of. What a silent daemon told
-/// is forgotten.
+/// Sums values that other daemons report. The values of a daemon that stops
+/// reporting expire.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,53 +19,55 @@
 
 namespace harelink {
 
-/// The sums, by \p Key.
+/// Totals over all peers, by \p Key.
 template <typename Key>
 class PeerTotals
 {
 public:
     using Values = std::map<Key, std::int64_t>;
 
-    /// \param clock outlives this.
+    /// \param clock must outlive the totals.
     explicit PeerTotals(const Clock &clock)
         : m_clock(clock)
     {
     }
 
-    /// Takes in what \p host told; it replaces what that host told before.
+    /// Replaces the values of \p host.
     ///
-    /// \param life how long it counts: four heartbeats, or more where it comes less often.
-    void update(const std::string &host, Values figures, Duration life = tellingLife)
+    /// \param ttl the period for which they are valid: four heartbeats, or more if the host
+    ///     reports less often.
+    void update(const std::string &host, Values values, Duration ttl = defaultTtl)
     {
-        std::erase_if(figures, [](const auto &figure) { return figure.second == 0; });
-        m_hosts[host] = {m_clock.now() + life, std::move(figures)};
+        std::erase_if(values, [](const auto &value) { return value.second == 0; });
+        m_hosts[host] = {m_clock.now() + ttl, std::move(values)};
     }
 
-    /// The sums that have changed since the last call; looks not too often.
+    /// Returns the totals that have changed since the last call. Recomputes them at most once
+    /// per scanInterval and returns nothing in between.
     [[nodiscard]] std::vector<std::pair<Key, std::int64_t>> changes()
     {
         std::vector<std::pair<Key, std::int64_t>> changed;
         const TimePoint now = m_clock.now();
-        if (now < m_nextLook) {
+        if (now < m_nextScan) {
             return changed;
         }
-        m_nextLook = now + lookInterval;
+        m_nextScan = now + scanInterval;
         std::erase_if(m_hosts, [now](const auto &entry) { return now > entry.second.until; });
         Values totals;
-        for (const auto &[host, told] : m_hosts) {
-            for (const auto &[key, figure] : told.figures) {
-                totals[key] += figure;
+        for (const auto &[host, reported] : m_hosts) {
+            for (const auto &[key, value] : reported.values) {
+                totals[key] += value;
             }
         }
-        for (const auto &[key, figure] : m_totals) {
+        for (const auto &[key, value] : m_totals) {
             if (!totals.contains(key)) {
                 changed.emplace_back(key, 0);
             }
         }
-        for (const auto &[key, figure] : totals) {
+        for (const auto &[key, value] : totals) {
             const auto before = m_totals.find(key);
-            if (before == m_totals.end() || before->second != figure) {
-                changed.emplace_back(key, figure);
+            if (before == m_totals.end() || before->second != value) {
+                changed.emplace_back(key, value);
             }
         }
         m_totals = std::move(totals);
@@ -73,20 +75,20 @@
     }
 
 private:
-    /// What a daemon told counts this long: four heartbeats.
-    static constexpr std::chrono::milliseconds tellingLife{1000};
-    static constexpr std::chrono::milliseconds lookInterval{50};
+    /// Values are valid for four heartbeats by default.
+    static constexpr std::chrono::milliseconds defaultTtl{1000};
+    static constexpr std::chrono::milliseconds scanInterval{50};
 
-    struct Told
+    struct HostValues
     {
         TimePoint until;
-        Values figures;
+        Values values;
     };
 
     const Clock &m_clock;
-    TimePoint m_nextLook = TimePoint::min();
-    std::map<std::string, Told> m_hosts;
-    Values m_totals; // As given out; without zeros.
+    TimePoint m_nextScan = TimePoint::min();
+    std::map<std::string, HostValues> m_hosts;
+    Values m_totals; ///< As last reported by changes(); without zeros.
 };
 
 } // namespace harelink
--- a/lib/Kernel/peerdemand.cpp
+++ b/lib/Kernel/peerdemand.cpp
@@ -1,12 +1,12 @@
-//===- peerdemand.cpp - What waits at the peers ---------------------------===//
+//===- peerdemand.cpp - Demand at the peers -------------------------------===//
 
 #include "harelink/Kernel/peerdemand.h"
 
 namespace harelink {
 namespace {
 
-/// Usage comes with every fourth summary, one a second; one of them may be lost.
-constexpr std::chrono::milliseconds summaryLife{2500};
+/// Every fourth summary, one per second, contains usage; one of them may be lost.
+constexpr std::chrono::milliseconds summaryTtl{2500};
 
 } // namespace
 
@@ -26,7 +26,7 @@
 
 void PeerDemand::updateFromSummary(const std::string &host, const std::vector<UsageReport> &reports)
 {
-    m_totals.update(host, callsOf(reports), summaryLife);
+    m_totals.update(host, callsOf(reports), summaryTtl);
 }
 
 std::vector<DemandTotal> PeerDemand::changes()
--- a/lib/Kernel/peerrelay.cpp
+++ b/lib/Kernel/peerrelay.cpp
@@ -10,19 +10,20 @@
 
 using std::chrono::milliseconds;
 
-/// Relays of a data centre: when one dies, the other has heard everybody already.
+/// Relays per data centre. When one dies, the other has already received from all hosts.
 constexpr std::size_t relayCount = 2;
-/// A relay that was asked and says nothing for this long is passed over: two heartbeats
-/// and a half.
-constexpr milliseconds relaySilence{600};
-/// How long it is passed over before it is asked again.
-constexpr milliseconds silencePause{3000};
-/// What a daemon told counts for four heartbeats, as does its wish for summaries.
-constexpr milliseconds fastTellingLife{1000};
-/// Every so many heartbeats a summary is whole, and goes to all. Each pace divides it.
-constexpr std::uint32_t wholeRound = 4;
-/// A host that leaves says so to everybody this many times: messages may be lost.
-constexpr std::uint32_t mostFarewells = 2;
+/// A relay that does not reply for this period, two and a half heartbeats, is passed over.
+constexpr milliseconds relayTimeout{600};
+/// For this period an unresponsive relay is passed over before it is tried again.
+constexpr milliseconds unresponsivePause{3000};
+/// What a daemon reported and its request for summaries are valid for four heartbeats.
+constexpr milliseconds fastHeartbeatTtl{1000};
+/// In heartbeats: in each round of this length one summary contains the usage and goes to all
+/// subscribers. A multiple of each value of Membership::heartbeatMultiplier().
+constexpr std::uint32_t usageRoundInterval = 4;
+/// A host that leaves announces it to all peers this number of times, since messages may be
+/// lost.
+constexpr std::uint32_t maxLeaveAnnouncements = 2;
 
 } // namespace
 
@@ -38,30 +39,31 @@
     return m_membership.peers().size() > m_maxMeshPeers;
 }
 
-Duration PeerRelay::tellingLife() const
+Duration PeerRelay::heartbeatTtl() const
 {
-    return fastTellingLife * static_cast<int>(m_membership.heartbeatMultiplier());
+    return fastHeartbeatTtl * static_cast<int>(m_membership.heartbeatMultiplier());
 }
 
-bool PeerRelay::isSilent(const std::string &host) const
+bool PeerRelay::isUnresponsive(const std::string &host) const
 {
-    const auto found = m_silentUntil.find(host);
-    return found != m_silentUntil.end() && m_clock.now() < found->second;
+    const auto found = m_unresponsiveUntil.find(host);
+    return found != m_unresponsiveUntil.end() && m_clock.now() < found->second;
 }
 
-/// The hosts of \p dataCentre in the order in which they are asked: able ones first,
-/// then by hash. While none is known to live, any that was ever declared may.
+/// Returns the hosts of \p dataCentre in order of preference as relays: high-capacity hosts
+/// first, then by hash. If none is known to be live, all declared hosts are candidates.
 std::vector<std::string> PeerRelay::ranked(const std::string &dataCentre) const
 {
     std::vector<std::string> live;
     std::vector<std::string> declared;
     for (const auto &[name, peer] : m_membership.peers()) {
-        const bool stays = peer.dataCentre == dataCentre && !peer.leaving && !peer.address.empty();
-        if (!stays || isSilent(name)) {
+        const bool isEligible =
+            peer.dataCentre == dataCentre && !peer.leaving && !peer.address.empty();
+        if (!isEligible || isUnresponsive(name)) {
             continue;
         }
         declared.push_back(name);
-        if (m_membership.seenWithin(peer, tellingLife())) {
+        if (m_membership.seenWithin(peer, heartbeatTtl())) {
             live.push_back(name);
         }
     }
@@ -72,31 +74,33 @@
     return m_membership.ranked(std::move(hosts), "relay");
 }
 
-/// Passes over those that were asked and did not answer.
-void PeerRelay::noticeSilence()
+/// Marks relays that did not reply to a request for summaries, so that they are passed over.
+void PeerRelay::detectUnresponsiveRelays()
 {
     const TimePoint now = m_clock.now();
-    std::erase_if(m_askedSince, [&](const auto &asked) {
-        const auto peer = m_membership.peers().find(asked.first);
-        const TimePoint heard =
-            peer == m_membership.peers().end() ? asked.second : peer->second.lastSeen;
-        const bool silent = now - std::max(asked.second, heard)
-                            > relaySilence * static_cast<int>(m_membership.heartbeatMultiplier());
-        if (silent) {
-            m_silentUntil[asked.first] = now + silencePause;
+    std::erase_if(m_requestedSince, [&](const auto &requested) {
+        const auto peer = m_membership.peers().find(requested.first);
+        const TimePoint seen =
+            peer == m_membership.peers().end() ? requested.second : peer->second.lastSeen;
+        const bool unresponsive =
+            now - std::max(requested.second, seen)
+            > relayTimeout * static_cast<int>(m_membership.heartbeatMultiplier());
+        if (unresponsive) {
+            m_unresponsiveUntil[requested.first] = now + unresponsivePause;
         }
-        return silent;
+        return unresponsive;
     });
-    std::erase_if(m_silentUntil, [now](const auto &silent) { return silent.second <= now; });
+    std::erase_if(m_unresponsiveUntil,
+                  [now](const auto &unresponsive) { return unresponsive.second <= now; });
 }
 
-void PeerRelay::ask(const std::string &host, std::vector<HeartbeatTarget> &targets)
+void PeerRelay::requestSummary(const std::string &host, std::vector<HeartbeatTarget> &targets)
 {
-    m_askedSince.try_emplace(host, m_clock.now());
-    targets.push_back({host, true, hostsKnownOf(host)});
+    m_requestedSince.try_emplace(host, m_clock.now());
+    targets.push_back({host, true, knownHostsHashOf(host)});
 }
 
-std::uint64_t PeerRelay::hostsKnownOf(const std::string &host) const
+std::uint64_t PeerRelay::knownHostsHashOf(const std::string &host) const
 {
     const auto list = m_hostLists.find(host);
     const bool holds = list != m_hostLists.end() && m_clock.now() < list->second.until;
@@ -106,7 +110,7 @@
 void PeerRelay::recordHostList(const std::string &host, const std::string &dataCentre,
                                std::uint64_t hash)
 {
-    // It took the place of what others said of the same hosts.
+    // The list replaces those that other relays sent of the same hosts.
     std::erase_if(m_hostLists, [&](const auto &entry) {
         const std::string &where = entry.second.dataCentre;
         return dataCentre.empty() || where.empty() || where == dataCentre;
@@ -116,15 +120,15 @@
 
 bool PeerRelay::renewHostList(const std::string &host, std::uint64_t hash)
 {
-    if (hash == 0 || hostsKnownOf(host) != hash) {
+    if (hash == 0 || knownHostsHashOf(host) != hash) {
         return false;
     }
     m_hostLists[host].until = m_clock.now() + Membership::reportTtl;
     return true;
 }
 
-/// Asks one relay of each other data centre.
-void PeerRelay::askElsewhere(std::vector<HeartbeatTarget> &targets)
+/// Requests summaries from one relay of each other data centre.
+void PeerRelay::requestRemoteSummaries(std::vector<HeartbeatTarget> &targets)
 {
     std::set<std::string> dataCentres;
     for (const auto &[name, peer] : m_membership.peers()) {
@@ -134,72 +138,74 @@
     for (const std::string &dataCentre : dataCentres) {
         const std::vector<std::string> hosts = ranked(dataCentre);
         if (!hosts.empty()) {
-            ask(hosts.front(), targets);
+            requestSummary(hosts.front(), targets);
         }
     }
 }
 
-/// Tells one declared host after another, of those that are not known to live, that this
-/// daemon does, and asks what it knows: two that each became a relay before they knew the
-/// other would not meet. The one that is told knows this daemon then and does not tell it in
-/// its turn, so without the question one of them would stay alone.
-void PeerRelay::introduce(std::vector<HeartbeatTarget> &targets)
+/// Sends a heartbeat to one of the declared hosts that are not known to be live, in turn, and
+/// requests a summary from it. Otherwise two daemons that each became a relay before they knew
+/// the other would never discover each other. The request is needed because the receiver then
+/// knows this daemon and does not introduce itself, so this daemon would not learn of it.
+void PeerRelay::addIntroduction(std::vector<HeartbeatTarget> &targets)
 {
-    std::vector<std::string> unheard;
+    std::vector<std::string> unseen;
     for (const auto &[name, peer] : m_membership.peers()) {
         const bool isLocal = peer.dataCentre == m_membership.dataCentre();
-        if (isLocal && !peer.leaving && !m_membership.seenWithin(peer, tellingLife())) {
-            unheard.push_back(name);
+        if (isLocal && !peer.leaving && !m_membership.seenWithin(peer, heartbeatTtl())) {
+            unseen.push_back(name);
         }
     }
     ++m_introductions;
-    // Able ones are few and matter most, so every other turn is theirs.
-    const std::vector<std::string> turn =
-        m_introductions % 2 == 0 ? std::move(unheard) : m_membership.highCapacityHosts(unheard);
-    if (!turn.empty()) {
-        targets.push_back({turn[m_introductions / 2 % turn.size()], true});
+    // High-capacity hosts are few and matter most, so they get every other turn.
+    const std::vector<std::string> candidates =
+        m_introductions % 2 == 0 ? std::move(unseen) : m_membership.highCapacityHosts(unseen);
+    if (!candidates.empty()) {
+        targets.push_back({candidates[m_introductions / 2 % candidates.size()], true});
     }
 }
 
 std::vector<HeartbeatTarget> PeerRelay::targets()
 {
     std::vector<HeartbeatTarget> targets;
-    const bool saysFarewell = m_membership.leaving() && m_farewells++ < mostFarewells;
-    if (!isRelayed() || saysFarewell) {
+    const bool announcesLeave =
+        m_membership.leaving() && m_leaveAnnouncements++ < maxLeaveAnnouncements;
+    if (!isRelayed() || announcesLeave) {
         m_isRelay = false;
         for (const auto &[name, peer] : m_membership.peers()) {
             targets.push_back({name, false});
         }
         return targets;
     }
-    noticeSilence();
+    detectUnresponsiveRelays();
     std::vector<std::string> hosts = ranked(m_membership.dataCentre());
     hosts.resize(std::min(hosts.size(), relayCount));
     m_isRelay = std::find(hosts.begin(), hosts.end(), m_membership.host()) != hosts.end();
     if (m_isRelay) {
-        askElsewhere(targets);
-        introduce(targets);
+        requestRemoteSummaries(targets);
+        addIntroduction(targets);
     }
-    // The second relay asks the first one too: it would not hear of a host that comes back
-    // and takes its place.
+    // The second relay also requests summaries from the first one. Otherwise it would not learn
+    // of a host that returns and replaces it as a relay.
     for (const std::string &host : hosts) {
         if (host == m_membership.host()) {
             continue;
         }
-        // The second has heard of all when the first dies; until then it need not be told of
-        // each small change by those that are many.
-        const bool isTold =
+        // The second relay has to know all hosts when the first one dies. Until then it does
+        // not need every heartbeat of the many hosts without high capacity.
+        const bool isDue =
             m_isRelay || m_membership.hasHighCapacity()
-            || ++m_tellings % (wholeRound / m_membership.heartbeatMultiplier()) == 0;
+            || ++m_secondRelayHeartbeats % (usageRoundInterval / m_membership.heartbeatMultiplier())
+                   == 0;
         if (host == hosts.front()) {
-            ask(host, targets);
-        } else if (isTold) {
+            requestSummary(host, targets);
+        } else if (isDue) {
             targets.push_back({host, false});
         }
     }
-    std::erase_if(m_askedSince, [&targets](const auto &asked) {
-        return std::none_of(targets.begin(), targets.end(), [&asked](const auto &target) {
-            return target.wantsSummary && target.host == asked.first;
+    std::erase_if(m_requestedSince, [&targets](const auto &requested) {
+        return std::none_of(targets.begin(), targets.end(), [&requested](const auto &target) {
+            return target.wantsSummary && target.host == requested.first;
         });
     });
     return targets;
@@ -215,28 +221,28 @@
     return isRelayed() && m_isRelay == (dataCentre != m_membership.dataCentre());
 }
 
-// What is told ----------------------------------------------------------------
+// Load reports ----------------------------------------------------------------
 
-void PeerRelay::update(Told &told, const std::vector<PromptBacklog> &prompts,
+void PeerRelay::update(PeerLoad &load, const std::vector<PromptBacklog> &prompts,
                        const std::vector<PieceBacklog> &backlogs, TimePoint now)
 {
-    told.at = now;
-    told.prompts.clear();
+    load.at = now;
+    load.prompts.clear();
     for (const PromptBacklog &prompt : prompts) {
-        told.prompts[prompt.endpoint] += prompt.tokens;
+        load.prompts[prompt.endpoint] += prompt.tokens;
     }
-    told.backlogs = backlogs;
+    load.backlogs = backlogs;
 }
 
-void PeerRelay::update(Told &told, const std::vector<UsageReport> &usage)
+void PeerRelay::update(PeerLoad &load, const std::vector<UsageReport> &usage)
 {
-    for (auto &[key, use] : told.usage) {
-        use.demand = 0;
+    for (auto &[key, accountUsage] : load.usage) {
+        accountUsage.demand = 0;
     }
     for (const UsageReport &report : usage) {
-        Use &use = told.usage[{report.account, report.pool}];
-        use.time += report.time;
-        use.demand = report.demand;
+        AccountUsage &accountUsage = load.usage[{report.account, report.pool}];
+        accountUsage.time += report.time;
+        accountUsage.demand = report.demand;
     }
 }
 
@@ -245,11 +251,11 @@
     if (heartbeat.wantsSummary) {
         m_subscribers[host] = {m_clock.now(), heartbeat.knownHostsHash};
     }
-    // A relay of another data centre tells its own figures in its summaries.
+    // A relay of another data centre includes its own load in its summaries.
     if (heartbeat.dataCentre == m_membership.dataCentre()) {
-        Told &told = m_local[host];
-        update(told, heartbeat.prompts, heartbeat.backlogs, m_clock.now());
-        update(told, heartbeat.usage);
+        PeerLoad &load = m_local[host];
+        update(load, heartbeat.prompts, heartbeat.backlogs, m_clock.now());
+        update(load, heartbeat.usage);
     }
 }
 
@@ -258,65 +264,66 @@
     if (dataCentre == m_membership.dataCentre()) {
         return;
     }
-    Told &told = m_elsewhere[dataCentre];
-    update(told, summary.prompts, summary.backlogs, m_clock.now());
+    PeerLoad &load = m_remote[dataCentre];
+    update(load, summary.prompts, summary.backlogs, m_clock.now());
     if (summary.hasUsage) {
-        update(told, summary.usage);
+        update(load, summary.usage);
     }
 }
 
-void PeerRelay::forgetOld()
+void PeerRelay::removeExpired()
 {
     const TimePoint now = m_clock.now();
-    const Duration life = tellingLife();
-    const auto isOld = [&](const auto &entry) { return now - entry.second.at > life; };
-    std::erase_if(m_local, isOld);
-    std::erase_if(m_elsewhere, isOld);
+    const Duration ttl = heartbeatTtl();
+    const auto isExpired = [&](const auto &entry) { return now - entry.second.at > ttl; };
+    std::erase_if(m_local, isExpired);
+    std::erase_if(m_remote, isExpired);
     std::erase_if(m_subscribers,
-                  [&](const auto &entry) { return now - entry.second.askedAt > life; });
+                  [&](const auto &entry) { return now - entry.second.requestedAt > ttl; });
 }
 
-/// Whether a summary for \p host goes out with this heartbeat. Few are able or stand
-/// elsewhere; the many others get theirs at their own pace.
+/// Returns whether a summary to \p host is sent with this heartbeat. The few subscribers with
+/// high capacity or in other data centres get one each time, the many others at their own
+/// heartbeat interval.
 bool PeerRelay::isSummaryDue(const std::string &host, bool isUrgent) const
 {
     const auto peer = m_membership.peers().find(host);
-    const bool isFast = peer == m_membership.peers().end()
-                        || m_membership.hasHighCapacity(peer->second)
-                        || !m_membership.isLocal(host);
-    return isUrgent || isFast || m_round % m_membership.heartbeatMultiplier() == 0;
+    const bool isEveryRound = peer == m_membership.peers().end()
+                              || m_membership.hasHighCapacity(peer->second)
+                              || !m_membership.isLocal(host);
+    return isUrgent || isEveryRound || m_round % m_membership.heartbeatMultiplier() == 0;
 }
 
-void PeerRelay::add(const Told &told, Told &total) const
+void PeerRelay::add(const PeerLoad &load, PeerLoad &total) const
 {
-    for (const auto &[endpoint, tokens] : told.prompts) {
+    for (const auto &[endpoint, tokens] : load.prompts) {
         total.prompts[endpoint] += tokens;
     }
-    for (const auto &[key, use] : told.usage) {
-        Use &sum = total.usage[key];
-        sum.time += use.time;
-        sum.demand += use.demand;
+    for (const auto &[key, accountUsage] : load.usage) {
+        AccountUsage &sum = total.usage[key];
+        sum.time += accountUsage.time;
+        sum.demand += accountUsage.demand;
     }
-    const Duration age = m_clock.now() - told.at;
-    for (PieceBacklog backlog : told.backlogs) {
+    const Duration age = m_clock.now() - load.at;
+    for (PieceBacklog backlog : load.backlogs) {
         backlog.freeIn = std::max<Duration>(Duration::zero(), backlog.freeIn - age);
         total.backlogs.push_back(std::move(backlog));
     }
 }
 
-PeerSummary PeerRelay::sum(const Told &own, const std::string &without, bool isLocal,
-                           bool hasUsage) const
+PeerSummary PeerRelay::aggregate(const PeerLoad &own, const std::string &excludedHost, bool isLocal,
+                                 bool hasUsage) const
 {
-    Told total;
+    PeerLoad total;
     add(own, total);
-    for (const auto &[host, told] : m_local) {
-        if (host != without) {
-            add(told, total);
+    for (const auto &[host, load] : m_local) {
+        if (host != excludedHost) {
+            add(load, total);
         }
     }
-    for (const auto &[dataCentre, told] : m_elsewhere) {
+    for (const auto &[dataCentre, load] : m_remote) {
         if (isLocal) {
-            add(told, total);
+            add(load, total);
         }
     }
     PeerSummary summary;
@@ -326,9 +333,10 @@
     }
     summary.hasUsage = hasUsage;
     if (hasUsage) {
-        for (const auto &[key, use] : total.usage) {
-            if (use.time != Duration{} || use.demand > 0) {
-                summary.usage.push_back({key.first, key.second, use.time, use.demand});
+        for (const auto &[key, accountUsage] : total.usage) {
+            if (accountUsage.time != Duration{} || accountUsage.demand > 0) {
+                summary.usage.push_back(
+                    {key.first, key.second, accountUsage.time, accountUsage.demand});
             }
         }
     }
@@ -337,17 +345,17 @@
 
 std::vector<PeerSend> PeerRelay::summaries(const Heartbeat &own)
 {
-    forgetOld();
+    removeExpired();
     update(m_own, own.prompts, own.backlogs, m_clock.now());
     update(m_own, own.usage);
     std::vector<PeerSend> sends;
     if (m_subscribers.empty()) {
         return sends;
     }
-    const bool hasUsage = ++m_round % wholeRound == 0;
-    // One that begins to leave is another one.
+    const bool hasUsage = ++m_round % usageRoundInterval == 0;
+    // The hash also changes when a host starts to leave.
     const std::uint64_t hashOfAll = m_membership.hostsHash({});
-    const bool hostsChanged = std::exchange(m_hostsBefore, hashOfAll) != hashOfAll;
+    const bool hostsChanged = std::exchange(m_lastHostsHash, hashOfAll) != hashOfAll;
     const bool isUrgent = hostsChanged || hasUsage;
     const std::uint64_t hashOfLocal = m_membership.hostsHash(m_membership.dataCentre());
     for (auto &[host, subscriber] : m_subscribers) {
@@ -355,7 +363,7 @@
             continue;
         }
         const bool isLocal = m_membership.isLocal(host);
-        PeerSummary summary = sum(m_own, host, isLocal, hasUsage);
+        PeerSummary summary = aggregate(m_own, host, isLocal, hasUsage);
         summary.leavingEndpoints = own.leavingEndpoints;
         summary.leavingKnown = own.leavingKnown;
         summary.limits = own.limits;
@@ -364,7 +372,8 @@
         summary.hostsHash = isLocal ? hashOfAll : hashOfLocal;
         summary.hasHosts = subscriber.knownHostsHash != summary.hostsHash;
         if (summary.hasHosts) {
-            // Until it tells otherwise, or the list would go out again before it can.
+            // Assumes delivery until the subscriber reports another hash; otherwise the list
+            // would be sent again before it can reply.
             subscriber.knownHostsHash = summary.hostsHash;
             summary.hosts =
                 m_membership.hostReports(isLocal ? std::string() : m_membership.dataCentre());
@@ -375,10 +384,10 @@
     }
     if (hasUsage) {
         m_own.usage.clear();
-        for (ToldBySource *sources : {&m_local, &m_elsewhere}) {
-            for (auto &[source, told] : *sources) {
-                for (auto &[key, use] : told.usage) {
-                    use.time = {};
+        for (LoadBySource *sources : {&m_local, &m_remote}) {
+            for (auto &[source, load] : *sources) {
+                for (auto &[key, accountUsage] : load.usage) {
+                    accountUsage.time = {};
                 }
             }
         }
