--- a/include/harelink/Kernel/claimbucket.h
+++ b/include/harelink/Kernel/claimbucket.h
@@ -1,7 +1,7 @@
-//===- harelink/Kernel/claimbucket.h - Records of claims --------*- C++ -*-===//
+//===- harelink/Kernel/claimbucket.h - Claim bucket records -----*- C++ -*-===//
 ///
 /// \file
-/// The content of one claim bucket and how it is written as a platform object.
+/// The records of a claim bucket and their encoding as a platform object.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,20 +19,20 @@
 
 namespace harelink {
 
-/// The number of buckets over which keys are spread.
+/// Number of buckets over which idempotency keys are distributed.
 ///
-/// All daemons must agree on it for as long as any key is remembered, so it is
-/// a constant and no setting. More buckets commit more batches a second and
-/// cost more of the platform's writes.
+/// All daemons must use the same value for as long as any key is retained, so
+/// it is a constant rather than a setting. More buckets commit more batches per
+/// second, at the cost of more writes to the platform.
 inline constexpr std::size_t claimBucketCount = 4;
 
-/// The platform kind of the buckets; it names the layout and the count.
+/// Platform kind of the buckets; contains the layout version and the bucket count.
 inline constexpr const char *claimBucketKind = "ClaimBucketV1x4";
 
-/// The largest answer that is kept for retries, in bytes.
+/// Maximum size of an answer that is stored for retries, in bytes.
 inline constexpr std::size_t maxStoredAnswerBytes = 4096;
 
-/// What is known of one idempotency key.
+/// State of one idempotency key.
 struct ClaimRecord
 {
     enum class State { Claimed, Done, Released, Abandoned };
@@ -41,24 +41,24 @@
     Hash128 digest;
     State state = State::Claimed;
     WallTime changedAt;
-    std::string answer;         ///< With Done.
-    bool answerDropped = false; ///< Done, but the answer was too large to keep.
-    /// Claimants that gave up: a claim of theirs that comes late is not written.
+    std::string answer;         ///< With state Done.
+    bool answerDropped = false; ///< With state Done: the answer was too large to store.
+    /// Claimants that released their claim; a delayed copy of it is not written.
     std::vector<RequestId> releasedClaimants;
 
     bool operator==(const ClaimRecord &) const = default;
 };
 
-/// The records of one bucket by key.
+/// Records of one bucket by key.
 using ClaimRecords = std::map<Hash128, ClaimRecord>;
 
-/// The bucket of \p key.
+/// Returns the index of the bucket that contains \p key.
 [[nodiscard]] std::size_t bucketOf(const Hash128 &key);
-/// The platform object's name of \p bucket.
+/// Returns the name of the platform object that stores \p bucket.
 [[nodiscard]] std::string bucketName(std::size_t bucket);
-/// The object's value: the records as protobuf in base 64.
+/// Returns the value of the platform object: the records as base64-encoded protobuf.
 [[nodiscard]] std::string encodeRecords(const ClaimRecords &records);
-/// Reads what encodeRecords() wrote; nothing where it is something else.
+/// Parses the output of encodeRecords(); std::nullopt if \p value is malformed.
 [[nodiscard]] std::optional<ClaimRecords> decodeRecords(const std::string &value);
 
 } // namespace harelink
--- a/include/harelink/Kernel/claimledger.h
+++ b/include/harelink/Kernel/claimledger.h
@@ -1,18 +1,19 @@
-//===- harelink/Kernel/claimledger.h - Claims in the platform ---*- C++ -*-===//
+//===- harelink/Kernel/claimledger.h - Claim ledger -------------*- C++ -*-===//
 ///
 /// \file
 /// Commits claims by conditional updates of bucket objects in the platform.
 ///
-/// Safety rests on the conditional update alone: whoever writes a bucket, its
-/// soft owner or anyone else, a claim stands only once a version that contains
-/// it was written over the version on which it was decided. Many operations
-/// ride in one update, and one update per bucket is in flight.
+/// Safety depends only on the conditional update: whichever daemon writes a
+/// bucket, its preferred owner or another, a claim is committed only when a
+/// version that contains it replaces the version on which it was decided. Many
+/// operations are batched in one update, with at most one update in flight per
+/// bucket.
 ///
-/// Operations are idempotent, since each record names its claimant. After an
-/// update whose answer was lost the ledger reads the bucket again. A version
-/// that moved settles the update: its records are there or never will be. The
-/// old version settles nothing, for the update may yet arrive; so the ledger
-/// writes on that version again until it has moved.
+/// Operations are idempotent, since each record contains its claimant. If the
+/// response to an update is lost, the ledger reads the bucket again. If its
+/// version has changed, the outcome is final: the records of the update are in
+/// the bucket or never will be. If the version is unchanged, the update may
+/// still arrive, so the ledger writes over that version again until it changes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -34,31 +35,31 @@
 
 namespace harelink {
 
-/// How a ledger paces itself.
+/// Timing of a claim ledger.
 struct ClaimLedgerOptions
 {
-    /// Between the starts of two updates of one bucket. The first claim on an
-    /// idle bucket goes at once.
+    /// Minimum interval between the starts of two updates of one bucket. The
+    /// first claim on an idle bucket is written immediately.
     std::chrono::milliseconds updateInterval{40};
-    /// How long a key is remembered.
+    /// How long a key is retained.
     std::chrono::milliseconds retention{86'400'000};
 };
 
-/// A decision, and the host whose claim it decides; empty for this host.
+/// A decision and the host whose claim it answers; an empty host is this host.
 struct ClaimReply
 {
     std::string host;
     ClaimDecision decision;
 };
 
-/// The end of a claimant is written; empty host for this host.
+/// Confirms that the outcome of a claimant is written; an empty host is this host.
 struct FinishReply
 {
     std::string host;
     RequestId claimant;
 };
 
-/// Counts of what a ledger did.
+/// Counters of a claim ledger.
 struct ClaimLedgerCounters
 {
     std::uint64_t reads = 0;
@@ -69,53 +70,53 @@
     std::uint64_t operations = 0;
 };
 
-/// The ledger of one daemon.
+/// The claim ledger of one daemon.
 template <GuardPolicy G>
 class BasicClaimLedger
 {
 public:
-    /// The live host that runs as an incarnation, empty for this host; nothing
-    /// where none is known to live. A wrong answer costs a caller its wait, never
-    /// a promise.
+    /// Returns the live host that runs as an incarnation, empty for this host;
+    /// std::nullopt if no such host is known to be live. A wrong result may keep
+    /// a caller waiting in vain but never breaks the at-most-once guarantee.
     using HostLookup = std::function<std::optional<std::string>(Incarnation)>;
 
-    /// \param clock outlives the ledger.
+    /// \param clock must outlive the ledger.
     BasicClaimLedger(const Clock &clock, HostLookup hostOf, ClaimLedgerOptions options);
 
-    /// Takes in a claim of \p host; empty for this host.
+    /// Handles a claim of \p host; empty for this host.
     void claim(const ClaimRequest &request, const std::string &host);
-    /// Takes in the end of a claimant of \p host.
+    /// Handles the outcome of a claimant of \p host; empty for this host.
     void finish(const ClaimFinish &finish, const std::string &host);
-    /// Says whether this host is the soft owner of \p bucket. An owner looks after
-    /// its bucket: it reads it now and then and reminds claimants of their grants,
-    /// so that one whose grant was lost on its way gives it back.
+    /// Sets whether this host is the preferred owner of \p bucket. An owner reads
+    /// its bucket periodically and resends grants to their claimants, so that a
+    /// claimant whose grant was lost releases the claim.
     void setOwned(std::size_t bucket, bool owned) { m_buckets[bucket].owned = owned; }
-    /// Makes the calls that are due.
+    /// Appends the platform calls that are due to \p calls.
     void tick(std::vector<PlatformCall> &calls, std::uint64_t &nextCallId);
-    /// Takes in the result of a call; false where it is not of this ledger.
+    /// Handles the result of a call; returns false if this ledger did not make it.
     bool handle(const PlatformResult &result);
-    /// Takes the decisions and ends since the last call.
+    /// Return the decisions and written outcomes since the last call.
     [[nodiscard]] std::vector<ClaimReply> takeReplies();
     [[nodiscard]] std::vector<FinishReply> takeFinished();
-    /// When tick() is due.
+    /// Returns when tick() is due next.
     [[nodiscard]] TimePoint nextTick() const;
-    /// Whether an operation still waits to be written.
+    /// Returns true if no operation waits to be written or confirmed.
     [[nodiscard]] bool idle() const;
     [[nodiscard]] const ClaimLedgerCounters &counters() const { return m_counters; }
 
 private:
-    /// A claim or an end that waits to be written.
+    /// A claim or an outcome that waits to be written.
     struct Operation
     {
-        std::variant<ClaimRequest, ClaimFinish> what;
+        std::variant<ClaimRequest, ClaimFinish> payload;
         std::string host;
-        TimePoint giveUpAt;        ///< Of a claim: its claimant has answered by then.
-        bool maybeWritten = false; ///< It was part of an update whose answer was lost.
+        TimePoint expiresAt;       ///< Of a claim: when the client timeout of its claimant ends.
+        bool maybeWritten = false; ///< It was part of an update whose response was lost.
     };
-    /// What applying an operation came to.
-    struct Applied
+    /// Result of applying an operation to the records.
+    struct ApplyResult
     {
-        std::optional<ClaimVerdict> verdict; ///< Of a claim; none while it must wait.
+        std::optional<ClaimVerdict> verdict; ///< Of a claim; std::nullopt while it must wait.
         std::string answer;
     };
     struct Bucket
@@ -124,42 +125,43 @@
         Version version = 0;
         ClaimRecords records;
         std::deque<Operation> pending;
-        std::vector<Operation> waiting; ///< Claims on keys that a live claimant holds.
+        std::vector<Operation> waiting; ///< Claims on keys held by a live claimant.
         std::uint64_t callId = 0;       ///< 0 while no call is in progress.
-        bool writing = false;
-        std::vector<Operation> batch; ///< The operations of the update in progress.
-        std::vector<Applied> applied;
+        bool isWrite = false;
+        std::vector<Operation> batch; ///< Operations of the update in progress.
+        std::vector<ApplyResult> results;
         ClaimRecords proposed;
-        bool unsettled = false; ///< An update on this version may yet arrive.
-        int failures = 0;       ///< Calls in a row without a useful answer.
-        bool down = false;      ///< The platform counts as out.
+        bool updateInDoubt = false; ///< An update of this version may still arrive.
+        int failures = 0;           ///< Consecutive calls without a usable response.
+        bool platformDown = false;  ///< The platform is considered unreachable.
         TimePoint notBefore;
         Duration backOff{};
         TimePoint lastRead;
         bool owned = false;
-        TimePoint lastReminder;
+        TimePoint lastGrantResend;
     };
 
-    void step(std::size_t index, std::vector<PlatformCall> &calls, std::uint64_t &nextCallId);
-    void read(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
-              std::uint64_t &nextCallId);
-    void write(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
-               std::uint64_t &nextCallId);
+    void processBucket(std::size_t index, std::vector<PlatformCall> &calls,
+                       std::uint64_t &nextCallId);
+    void startRead(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
+                   std::uint64_t &nextCallId);
+    void startWrite(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
+                    std::uint64_t &nextCallId);
     void handleRead(Bucket &bucket, const PlatformResult &result);
     void handleWrite(Bucket &bucket, const PlatformResult &result);
     void commit(Bucket &bucket, Version version);
-    void settle(Bucket &bucket);
-    void deliver(Bucket &bucket);
-    void returnBatch(Bucket &bucket, bool maybeWritten);
+    void resolveUpdate(Bucket &bucket);
+    void deliverResults(Bucket &bucket);
+    void requeueBatch(Bucket &bucket, bool maybeWritten);
     void backOff(Bucket &bucket, PlatformOutcome outcome);
-    void refusePending(Bucket &bucket);
-    void wakeWaiting(Bucket &bucket);
-    void remindClaimants(Bucket &bucket);
+    void rejectPending(Bucket &bucket);
+    void recheckWaiting(Bucket &bucket);
+    void resendGrants(Bucket &bucket);
     [[nodiscard]] bool isLive(Incarnation incarnation) const;
     void dropExpired(ClaimRecords &records) const;
-    Applied apply(const ClaimRequest &request, ClaimRecords &records) const;
-    Applied apply(const ClaimFinish &finish, ClaimRecords &records) const;
-    void release(const ClaimFinish &finish, ClaimRecords &records) const;
+    ApplyResult apply(const ClaimRequest &request, ClaimRecords &records) const;
+    ApplyResult apply(const ClaimFinish &finish, ClaimRecords &records) const;
+    void applyRelease(const ClaimFinish &finish, ClaimRecords &records) const;
     void reply(const ClaimRequest &request, const std::string &host, ClaimVerdict verdict,
                const std::string &answer);
 
@@ -172,7 +174,7 @@
     ClaimLedgerCounters m_counters;
 };
 
-/// The ledger of the product.
+/// The claim ledger with all guards enabled, as used in production.
 using ClaimLedger = BasicClaimLedger<AllGuards>;
 
 } // namespace harelink
--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -17,23 +17,23 @@
 
 namespace claimledger {
 
-inline constexpr std::chrono::milliseconds firstBackOff{50};
-inline constexpr std::chrono::milliseconds longestBackOff{1000};
+inline constexpr std::chrono::milliseconds initialBackOff{50};
+inline constexpr std::chrono::milliseconds maxBackOff{1000};
 /// Calls without an answer in a row after which the platform counts as out.
-inline constexpr int silencesOfAnOutage = 3;
+inline constexpr int unansweredCallsForOutage = 3;
 /// How often a bucket is read again while claims wait for a live claimant.
-inline constexpr std::chrono::milliseconds waitingReadInterval{250};
+inline constexpr std::chrono::milliseconds waitingClaimReadInterval{250};
 /// How often an owner reads its bucket at the least.
 inline constexpr std::chrono::milliseconds ownerReadInterval{2000};
 /// How often an owner reminds claimants of claims that are older than this.
-inline constexpr std::chrono::milliseconds reminderInterval{1000};
+inline constexpr std::chrono::milliseconds grantResendInterval{1000};
 /// How long it is remembered that a claim was given up; longer than any ledger
 /// holds on to a claim.
-inline constexpr std::chrono::minutes releasedMemory{15};
+inline constexpr std::chrono::minutes releasedRetention{15};
 /// How many claimants of one key that gave up are remembered.
-inline constexpr std::size_t mostGivenUp = 32;
+inline constexpr std::size_t maxReleasedClaimants = 32;
 /// A bucket's value is never larger, with room below the platform's limit.
-inline constexpr std::size_t largestValue = 950'000;
+inline constexpr std::size_t maxValueBytes = 950'000;
 
 inline bool contains(const std::vector<RequestId> &ids, const RequestId &id)
 {
@@ -52,7 +52,7 @@
     for (Bucket &bucket : m_buckets) {
         bucket.notBefore = clock.now();
         bucket.lastRead = clock.now();
-        bucket.lastReminder = clock.now();
+        bucket.lastGrantResend = clock.now();
     }
 }
 
@@ -84,10 +84,10 @@
         if (bucket.callId != 0) {
             continue;
         }
-        if (!bucket.pending.empty() || bucket.unsettled) {
+        if (!bucket.pending.empty() || bucket.updateInDoubt) {
             next = std::min(next, bucket.notBefore);
         } else if (!bucket.waiting.empty()) {
-            next = std::min(next, bucket.lastRead + claimledger::waitingReadInterval);
+            next = std::min(next, bucket.lastRead + claimledger::waitingClaimReadInterval);
         } else if (bucket.owned) {
             next = std::min(next, bucket.lastRead + claimledger::ownerReadInterval);
         }
@@ -110,7 +110,7 @@
 {
     Bucket &bucket = m_buckets[bucketOf(request.key)];
     ++m_counters.operations;
-    if (bucket.down && m_clock.now() < bucket.notBefore) {
+    if (bucket.platformDown && m_clock.now() < bucket.notBefore) {
         // The platform is out: the caller learns at once, not at its deadline.
         reply(request, host, ClaimVerdict::Unavailable, {});
         return;
@@ -123,27 +123,28 @@
 {
     Bucket &bucket = m_buckets[bucketOf(finish.key)];
     ++m_counters.operations;
-    const auto isItsClaim = [&finish](const Operation &operation) {
-        const auto *request = std::get_if<ClaimRequest>(&operation.what);
+    const auto isUnwrittenClaim = [&finish](const Operation &operation) {
+        const auto *request = std::get_if<ClaimRequest>(&operation.payload);
         return request != nullptr && request->claimant == finish.claimant
                && !operation.maybeWritten;
     };
-    std::erase_if(bucket.waiting, isItsClaim);
+    std::erase_if(bucket.waiting, isUnwrittenClaim);
     // A claim that never left this ledger needs no release.
-    std::erase_if(bucket.pending, isItsClaim);
+    std::erase_if(bucket.pending, isUnwrittenClaim);
     bucket.pending.push_back({finish, host, TimePoint::max(), false});
 }
 
 template <GuardPolicy G>
-auto BasicClaimLedger<G>::apply(const ClaimRequest &request, ClaimRecords &records) const -> Applied
+auto BasicClaimLedger<G>::apply(const ClaimRequest &request, ClaimRecords &records) const
+    -> ApplyResult
 {
     const auto found = records.find(request.key);
-    const bool absent = found == records.end();
-    if (!absent && claimledger::contains(found->second.releasedClaimants, request.claimant)) {
+    const bool isAbsent = found == records.end();
+    if (!isAbsent && claimledger::contains(found->second.releasedClaimants, request.claimant)) {
         // A copy of a claim that was given up meanwhile.
         return {ClaimVerdict::Unavailable, {}};
     }
-    if (absent || found->second.state == ClaimRecord::State::Released) {
+    if (isAbsent || found->second.state == ClaimRecord::State::Released) {
         ClaimRecord &record = records[request.key];
         record.claimant = request.claimant;
         record.digest = request.digest;
@@ -162,10 +163,10 @@
     if (record.state == ClaimRecord::State::Abandoned) {
         return {ClaimVerdict::MayHaveRun, {}};
     }
-    const bool own = G::claimsPerRequest
-                         ? record.claimant == request.claimant
-                         : record.claimant.incarnation == request.claimant.incarnation;
-    if (own) {
+    const bool isOwn = G::claimsPerRequest
+                           ? record.claimant == request.claimant
+                           : record.claimant.incarnation == request.claimant.incarnation;
+    if (isOwn) {
         return {ClaimVerdict::Granted, {}};
     }
     if (!isLive(record.claimant.incarnation)) {
@@ -175,10 +176,11 @@
 }
 
 template <GuardPolicy G>
-auto BasicClaimLedger<G>::apply(const ClaimFinish &finish, ClaimRecords &records) const -> Applied
+auto BasicClaimLedger<G>::apply(const ClaimFinish &finish, ClaimRecords &records) const
+    -> ApplyResult
 {
     if (finish.outcome == ClaimOutcome::Released) {
-        release(finish, records);
+        applyRelease(finish, records);
         return {};
     }
     const auto found = records.find(finish.key);
@@ -206,23 +208,23 @@
 /// Another ledger may still hold the claim and write it later, when the
 /// claimant is gone. It must then find that the claim was given up.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::release(const ClaimFinish &finish, ClaimRecords &records) const
+void BasicClaimLedger<G>::applyRelease(const ClaimFinish &finish, ClaimRecords &records) const
 {
-    const bool absent = !records.contains(finish.key);
+    const bool isAbsent = !records.contains(finish.key);
     ClaimRecord &record = records[finish.key];
-    const bool own = record.claimant == finish.claimant;
-    if (absent || (own && record.state == ClaimRecord::State::Claimed)) {
+    const bool isOwn = record.claimant == finish.claimant;
+    if (isAbsent || (isOwn && record.state == ClaimRecord::State::Claimed)) {
         record.claimant = finish.claimant;
         record.state = ClaimRecord::State::Released;
         record.changedAt = m_clock.wallNow();
     }
-    const bool open =
+    const bool isOpen =
         record.state == ClaimRecord::State::Claimed || record.state == ClaimRecord::State::Released;
-    if (!open || claimledger::contains(record.releasedClaimants, finish.claimant)) {
+    if (!isOpen || claimledger::contains(record.releasedClaimants, finish.claimant)) {
         return;
     }
     record.releasedClaimants.push_back(finish.claimant);
-    if (record.releasedClaimants.size() > claimledger::mostGivenUp) {
+    if (record.releasedClaimants.size() > claimledger::maxReleasedClaimants) {
         record.releasedClaimants.erase(record.releasedClaimants.begin());
     }
 }
@@ -230,11 +232,12 @@
 template <GuardPolicy G>
 void BasicClaimLedger<G>::dropExpired(ClaimRecords &records) const
 {
-    const WallTime oldest = m_clock.wallNow() - m_options.retention;
-    const WallTime oldestReleased = m_clock.wallNow() - claimledger::releasedMemory;
+    const WallTime minChangedAt = m_clock.wallNow() - m_options.retention;
+    const WallTime minReleasedChangedAt = m_clock.wallNow() - claimledger::releasedRetention;
     std::erase_if(records, [&](const auto &entry) {
         const bool released = entry.second.state == ClaimRecord::State::Released;
-        return entry.second.changedAt < (released ? std::max(oldest, oldestReleased) : oldest);
+        return entry.second.changedAt
+               < (released ? std::max(minChangedAt, minReleasedChangedAt) : minChangedAt);
     });
 }
 
@@ -244,13 +247,13 @@
 void BasicClaimLedger<G>::tick(std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
     for (std::size_t i = 0; i < m_buckets.size(); ++i) {
-        step(i, calls, nextCallId);
+        processBucket(i, calls, nextCallId);
     }
 }
 
 template <GuardPolicy G>
-void BasicClaimLedger<G>::step(std::size_t index, std::vector<PlatformCall> &calls,
-                               std::uint64_t &nextCallId)
+void BasicClaimLedger<G>::processBucket(std::size_t index, std::vector<PlatformCall> &calls,
+                                        std::uint64_t &nextCallId)
 {
     Bucket &bucket = m_buckets[index];
     const TimePoint now = m_clock.now();
@@ -258,31 +261,32 @@
         return;
     }
     // A claim that nobody waits for any more must not be written.
-    const auto isStale = [now](const Operation &operation) {
-        return operation.giveUpAt <= now && !operation.maybeWritten;
+    const auto isExpired = [now](const Operation &operation) {
+        return operation.expiresAt <= now && !operation.maybeWritten;
     };
-    std::erase_if(bucket.waiting, isStale);
-    std::erase_if(bucket.pending, isStale);
+    std::erase_if(bucket.waiting, isExpired);
+    std::erase_if(bucket.pending, isExpired);
     const Duration sinceRead = now - bucket.lastRead;
-    const bool mustRead = (!bucket.waiting.empty() && sinceRead >= claimledger::waitingReadInterval)
-                          || (bucket.owned && sinceRead >= claimledger::ownerReadInterval);
+    const bool mustRead =
+        (!bucket.waiting.empty() && sinceRead >= claimledger::waitingClaimReadInterval)
+        || (bucket.owned && sinceRead >= claimledger::ownerReadInterval);
     if (bucket.owned && bucket.loaded
-        && now >= bucket.lastReminder + claimledger::reminderInterval) {
-        remindClaimants(bucket);
+        && now >= bucket.lastGrantResend + claimledger::grantResendInterval) {
+        resendGrants(bucket);
     }
-    const bool mustWrite = !bucket.pending.empty() || bucket.unsettled;
+    const bool mustWrite = !bucket.pending.empty() || bucket.updateInDoubt;
     if (mustRead || (mustWrite && !bucket.loaded)) {
-        read(bucket, index, calls, nextCallId);
+        startRead(bucket, index, calls, nextCallId);
         return;
     }
     if (mustWrite) {
-        write(bucket, index, calls, nextCallId);
+        startWrite(bucket, index, calls, nextCallId);
     }
 }
 
 template <GuardPolicy G>
-void BasicClaimLedger<G>::read(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
-                               std::uint64_t &nextCallId)
+void BasicClaimLedger<G>::startRead(Bucket &bucket, std::size_t index,
+                                    std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
     ++m_counters.reads;
     PlatformCall call;
@@ -291,34 +295,35 @@
     call.kind = claimBucketKind;
     call.name = bucketName(index);
     bucket.callId = call.id;
-    bucket.writing = false;
+    bucket.isWrite = false;
     bucket.lastRead = m_clock.now();
     calls.push_back(std::move(call));
 }
 
 template <GuardPolicy G>
-void BasicClaimLedger<G>::write(Bucket &bucket, std::size_t index, std::vector<PlatformCall> &calls,
-                                std::uint64_t &nextCallId)
+void BasicClaimLedger<G>::startWrite(Bucket &bucket, std::size_t index,
+                                     std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
     bucket.proposed = bucket.records;
-    bucket.applied.clear();
+    bucket.results.clear();
     bucket.batch.assign(std::make_move_iterator(bucket.pending.begin()),
                         std::make_move_iterator(bucket.pending.end()));
     bucket.pending.clear();
     for (const Operation &operation : bucket.batch) {
-        bucket.applied.push_back(std::visit(
-            [&](const auto &what) { return apply(what, bucket.proposed); }, operation.what));
+        bucket.results.push_back(
+            std::visit([&](const auto &payload) { return apply(payload, bucket.proposed); },
+                       operation.payload));
     }
-    if (bucket.proposed == bucket.records && !bucket.unsettled) {
+    if (bucket.proposed == bucket.records && !bucket.updateInDoubt) {
         // Nothing to write: what was read decides.
-        deliver(bucket);
+        deliverResults(bucket);
         return;
     }
     dropExpired(bucket.proposed);
     PlatformCall call;
     call.value = encodeRecords(bucket.proposed);
-    if (call.value.size() > claimledger::largestValue) {
-        returnBatch(bucket, false);
+    if (call.value.size() > claimledger::maxValueBytes) {
+        requeueBatch(bucket, false);
         backOff(bucket, PlatformOutcome::Refused);
         return;
     }
@@ -330,7 +335,7 @@
     call.ifVersion = bucket.version;
     call.unconditional = !G::updatesConditionally;
     bucket.callId = call.id;
-    bucket.writing = true;
+    bucket.isWrite = true;
     bucket.notBefore = m_clock.now() + m_options.updateInterval;
     calls.push_back(std::move(call));
 }
@@ -341,7 +346,7 @@
     for (Bucket &bucket : m_buckets) {
         if (bucket.callId == result.id && result.id != 0) {
             bucket.callId = 0;
-            if (bucket.writing) {
+            if (bucket.isWrite) {
                 handleWrite(bucket, result);
             } else {
                 handleRead(bucket, result);
@@ -355,28 +360,28 @@
 template <GuardPolicy G>
 void BasicClaimLedger<G>::handleRead(Bucket &bucket, const PlatformResult &result)
 {
-    const bool absent = result.outcome == PlatformOutcome::NotFound;
+    const bool isAbsent = result.outcome == PlatformOutcome::NotFound;
     std::optional<ClaimRecords> records;
     if (result.outcome == PlatformOutcome::Ok) {
         records = decodeRecords(result.value);
     }
-    if (!absent && !records) {
+    if (!isAbsent && !records) {
         backOff(bucket, result.outcome);
         return;
     }
-    const Version version = absent ? 0 : result.version;
-    bucket.down = false;
+    const Version version = isAbsent ? 0 : result.version;
+    bucket.platformDown = false;
     bucket.failures = 0;
     bucket.backOff = {};
     // If it moved, the lost update is in what was just read, or never will be.
-    const bool settled = !bucket.unsettled || version != bucket.version;
+    const bool isResolved = !bucket.updateInDoubt || version != bucket.version;
     bucket.loaded = true;
     bucket.version = version;
     bucket.records = records ? *std::move(records) : ClaimRecords();
-    if (settled) {
-        settle(bucket);
+    if (isResolved) {
+        resolveUpdate(bucket);
     }
-    wakeWaiting(bucket);
+    recheckWaiting(bucket);
 }
 
 template <GuardPolicy G>
@@ -392,20 +397,20 @@
             commit(bucket, bucket.version);
             return;
         }
-        returnBatch(bucket, true);
-        bucket.unsettled = true;
+        requeueBatch(bucket, true);
+        bucket.updateInDoubt = true;
         bucket.loaded = false;
         backOff(bucket, result.outcome);
         return;
     case PlatformOutcome::Refused:
-        returnBatch(bucket, false);
+        requeueBatch(bucket, false);
         backOff(bucket, result.outcome);
         return;
     default:
         ++m_counters.conflicts;
         // The version has moved, so no update on the old one can arrive any more.
-        returnBatch(bucket, false);
-        bucket.unsettled = false;
+        requeueBatch(bucket, false);
+        bucket.updateInDoubt = false;
         bucket.loaded = false;
         bucket.notBefore = m_clock.now();
         return;
@@ -418,70 +423,70 @@
     bucket.version = version;
     bucket.records = std::move(bucket.proposed);
     bucket.proposed.clear();
-    bucket.unsettled = false;
-    bucket.down = false;
+    bucket.updateInDoubt = false;
+    bucket.platformDown = false;
     bucket.failures = 0;
     bucket.backOff = {};
-    deliver(bucket);
-    wakeWaiting(bucket);
+    deliverResults(bucket);
+    recheckWaiting(bucket);
 }
 
 /// What was just read holds every update that ever will take effect. Claims that
 /// stand in it are granted at once: were they handed to the next update instead,
 /// its failure would have them refused as never written.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::settle(Bucket &bucket)
+void BasicClaimLedger<G>::resolveUpdate(Bucket &bucket)
 {
-    bucket.unsettled = false;
+    bucket.updateInDoubt = false;
     std::erase_if(bucket.pending, [&](Operation &operation) {
         operation.maybeWritten = false;
-        const auto *request = std::get_if<ClaimRequest>(&operation.what);
+        const auto *request = std::get_if<ClaimRequest>(&operation.payload);
         if (request == nullptr) {
             return false;
         }
         const auto record = bucket.records.find(request->key);
-        const bool stands = record != bucket.records.end()
-                            && record->second.claimant == request->claimant
-                            && record->second.state == ClaimRecord::State::Claimed;
-        if (stands) {
+        const bool isCommitted = record != bucket.records.end()
+                                 && record->second.claimant == request->claimant
+                                 && record->second.state == ClaimRecord::State::Claimed;
+        if (isCommitted) {
             reply(*request, operation.host, ClaimVerdict::Granted, {});
         }
-        return stands;
+        return isCommitted;
     });
 }
 
 /// Tells everyone of the batch what became of it.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::deliver(Bucket &bucket)
+void BasicClaimLedger<G>::deliverResults(Bucket &bucket)
 {
     for (std::size_t i = 0; i < bucket.batch.size(); ++i) {
         Operation &operation = bucket.batch[i];
-        if (const auto *finish = std::get_if<ClaimFinish>(&operation.what)) {
+        if (const auto *finish = std::get_if<ClaimFinish>(&operation.payload)) {
             m_finished.push_back({operation.host, finish->claimant});
             continue;
         }
-        const auto &request = std::get<ClaimRequest>(operation.what);
-        const Applied &applied = bucket.applied[i];
-        if (applied.verdict) {
-            reply(request, operation.host, *applied.verdict, applied.answer);
+        const auto &request = std::get<ClaimRequest>(operation.payload);
+        const ApplyResult &results = bucket.results[i];
+        if (results.verdict) {
+            reply(request, operation.host, *results.verdict, results.answer);
             continue;
         }
         bucket.waiting.push_back(std::move(operation));
     }
     bucket.batch.clear();
-    bucket.applied.clear();
+    bucket.results.clear();
 }
 
 /// Puts the batch back in front of what came in since.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::returnBatch(Bucket &bucket, bool maybeWritten)
+void BasicClaimLedger<G>::requeueBatch(Bucket &bucket, bool maybeWritten)
 {
     for (auto at = bucket.batch.rbegin(); at != bucket.batch.rend(); ++at) {
         at->maybeWritten = at->maybeWritten || maybeWritten;
         bucket.pending.push_front(std::move(*at));
     }
     bucket.batch.clear();
-    bucket.applied.clear();
+    bucket.results.clear();
 }
 
 /// Waits before the next call. A single lost answer is no outage: only a refusal
@@ -490,23 +495,23 @@
 void BasicClaimLedger<G>::backOff(Bucket &bucket, PlatformOutcome outcome)
 {
     ++bucket.failures;
-    bucket.down = outcome != PlatformOutcome::Unanswered
-                  || bucket.failures >= claimledger::silencesOfAnOutage;
-    bucket.backOff = std::clamp<Duration>(bucket.backOff * 2, claimledger::firstBackOff,
-                                          claimledger::longestBackOff);
-    bucket.notBefore = m_clock.now() + (bucket.down ? bucket.backOff : Duration::zero());
-    if (bucket.down) {
-        refusePending(bucket);
+    bucket.platformDown = outcome != PlatformOutcome::Unanswered
+                          || bucket.failures >= claimledger::unansweredCallsForOutage;
+    bucket.backOff = std::clamp<Duration>(bucket.backOff * 2, claimledger::initialBackOff,
+                                          claimledger::maxBackOff);
+    bucket.notBefore = m_clock.now() + (bucket.platformDown ? bucket.backOff : Duration::zero());
+    if (bucket.platformDown) {
+        rejectPending(bucket);
     }
 }
 
 /// Refuses the claims of which no byte can have been written.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::refusePending(Bucket &bucket)
+void BasicClaimLedger<G>::rejectPending(Bucket &bucket)
 {
     std::deque<Operation> kept;
     for (Operation &operation : bucket.pending) {
-        const auto *request = std::get_if<ClaimRequest>(&operation.what);
+        const auto *request = std::get_if<ClaimRequest>(&operation.payload);
         if (request == nullptr || operation.maybeWritten) {
             kept.push_back(std::move(operation));
             continue;
@@ -518,16 +523,16 @@
 
 /// Looks at the waiting claims again: their key's record may have changed.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::wakeWaiting(Bucket &bucket)
+void BasicClaimLedger<G>::recheckWaiting(Bucket &bucket)
 {
     std::vector<Operation> waiting = std::exchange(bucket.waiting, {});
     for (Operation &operation : waiting) {
-        const auto &request = std::get<ClaimRequest>(operation.what);
+        const auto &request = std::get<ClaimRequest>(operation.payload);
         const auto record = bucket.records.find(request.key);
-        const bool held = record != bucket.records.end()
-                          && record->second.state == ClaimRecord::State::Claimed
-                          && isLive(record->second.claimant.incarnation);
-        if (held) {
+        const bool isHeld = record != bucket.records.end()
+                            && record->second.state == ClaimRecord::State::Claimed
+                            && isLive(record->second.claimant.incarnation);
+        if (isHeld) {
             bucket.waiting.push_back(std::move(operation));
         } else {
             bucket.pending.push_back(std::move(operation));
@@ -544,12 +549,12 @@
 /// Grants old claims again. A claimant that runs ignores it; one that gave up
 /// before its grant came, or whose grant was lost, releases the claim.
 template <GuardPolicy G>
-void BasicClaimLedger<G>::remindClaimants(Bucket &bucket)
+void BasicClaimLedger<G>::resendGrants(Bucket &bucket)
 {
-    bucket.lastReminder = m_clock.now();
-    const WallTime oldest = m_clock.wallNow() - claimledger::reminderInterval;
+    bucket.lastGrantResend = m_clock.now();
+    const WallTime minChangedAt = m_clock.wallNow() - claimledger::grantResendInterval;
     for (const auto &[key, record] : bucket.records) {
-        if (record.state != ClaimRecord::State::Claimed || record.changedAt > oldest) {
+        if (record.state != ClaimRecord::State::Claimed || record.changedAt > minChangedAt) {
             continue;
         }
         if (const std::optional<std::string> host = m_hostLookup(record.claimant.incarnation)) {
--- a/include/harelink/Kernel/claimrouter.h
+++ b/include/harelink/Kernel/claimrouter.h
@@ -1,11 +1,11 @@
-//===- harelink/Kernel/claimrouter.h - Claims to their ledger ---*- C++ -*-===//
+//===- harelink/Kernel/claimrouter.h - Claim router -------------*- C++ -*-===//
 ///
 /// \file
-/// Brings each claim of this daemon's requests to the ledger of the bucket's
-/// soft owner, or to the own ledger where the owner does not answer.
+/// Forwards each claim of this daemon's requests to the ledger of the bucket's
+/// preferred owner, or to the local ledger if the owner does not answer.
 ///
-/// A claim may so reach two ledgers. That is harmless: its claimant is the same
-/// in both, and the platform's conditional update lets one record stand.
+/// A claim may therefore reach two ledgers. This is harmless: its claimant is
+/// the same in both, and the platform's conditional update commits one record.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,51 +20,51 @@
 
 namespace harelink {
 
-/// The router of one daemon.
+/// The claim router of one daemon.
 template <GuardPolicy G>
 class BasicClaimRouter
 {
 public:
-    /// All references outlive the router.
+    /// All references must outlive the router.
     BasicClaimRouter(const Clock &clock, const Membership &membership, BasicClaimLedger<G> &ledger);
 
-    /// Takes in a claim of an own request.
+    /// Handles a claim of a local request.
     void claim(const ClaimRequest &request);
-    /// Takes in how an own request ended.
+    /// Handles the outcome of a local request.
     void finish(const ClaimFinish &finish);
-    /// Takes in a decision of a peer, or of the own ledger.
+    /// Handles a decision of a peer (\p byPeer) or of the local ledger.
     void handleDecision(const ClaimDecision &decision, bool byPeer);
-    /// Takes in that an end is written.
+    /// Handles the confirmation that the outcome of \p claimant is written.
     void handleFinished(const RequestId &claimant);
-    /// Asks again, or elsewhere, where no answer came.
+    /// Resends unanswered messages, or falls back to the local ledger.
     void tick();
 
     [[nodiscard]] std::vector<PeerSend> takeSends();
     [[nodiscard]] std::vector<ClaimDecision> takeDecisions();
     [[nodiscard]] TimePoint nextTick() const;
-    /// Whether everything that was asked is answered.
+    /// Returns true if no claim or outcome is unanswered.
     [[nodiscard]] bool idle() const { return m_claims.empty() && m_finishes.empty(); }
-    /// How many claims went to the own ledger because the owner did not answer.
+    /// Number of messages that fell back to the local ledger because the owner did not answer.
     [[nodiscard]] std::uint64_t localFallbacks() const { return m_localFallbacks; }
 
 private:
-    /// Something that was sent to an owner and is not answered yet.
-    template <typename What>
+    /// A claim or outcome that was sent to an owner and is not answered yet.
+    template <typename Payload>
     struct Pending
     {
-        What what;
-        int tries = 0;
-        bool direct = false; ///< In the own ledger's hands.
-        TimePoint nextTry;
-        TimePoint giveUpAt;
+        Payload payload;
+        int attempts = 0;
+        bool isLocal = false; ///< Was passed to the local ledger.
+        TimePoint nextAttempt;
+        TimePoint expiresAt;
     };
 
-    template <typename What>
-    void send(Pending<What> &pending);
-    template <typename What>
-    void resend(std::map<RequestId, Pending<What>> &all);
-    void hand(const ClaimRequest &request);
-    void hand(const ClaimFinish &finish);
+    template <typename Payload>
+    void send(Pending<Payload> &pending);
+    template <typename Payload>
+    void resend(std::map<RequestId, Pending<Payload>> &pendingItems);
+    void submitLocally(const ClaimRequest &request);
+    void submitLocally(const ClaimFinish &finish);
 
     const Clock &m_clock;
     const Membership &m_membership;
--- a/include/harelink/Kernel/claimrouterimpl.h
+++ b/include/harelink/Kernel/claimrouterimpl.h
@@ -20,10 +20,10 @@
 /// After this time without an answer an owner is asked again.
 inline constexpr std::chrono::milliseconds retryInterval{150};
 /// How often an owner is asked before the own ledger takes over.
-inline constexpr int mostTries = 2;
+inline constexpr int maxAttempts = 2;
 /// While so many ends wait to be written, the platform being out, new claims are
 /// refused at once.
-inline constexpr std::size_t mostUnwrittenEnds = 10'000;
+inline constexpr std::size_t maxUnwrittenFinishes = 10'000;
 
 } // namespace claimrouter
 
@@ -49,46 +49,47 @@
 }
 
 template <GuardPolicy G>
-void BasicClaimRouter<G>::hand(const ClaimRequest &request)
+void BasicClaimRouter<G>::submitLocally(const ClaimRequest &request)
 {
     m_ledger.claim(request, {});
 }
 
 template <GuardPolicy G>
-void BasicClaimRouter<G>::hand(const ClaimFinish &finish)
+void BasicClaimRouter<G>::submitLocally(const ClaimFinish &finish)
 {
     m_ledger.finish(finish, {});
 }
 
 template <GuardPolicy G>
-template <typename What>
-void BasicClaimRouter<G>::send(Pending<What> &pending)
+template <typename Payload>
+void BasicClaimRouter<G>::send(Pending<Payload> &pending)
 {
-    const std::string owner = preferredOwner(bucketOf(pending.what.key), m_membership.candidates());
+    const std::string owner =
+        preferredOwner(bucketOf(pending.payload.key), m_membership.candidates());
     const std::string address = m_membership.addressOf(owner);
-    const bool own = owner == m_membership.host() || address.empty();
-    if (own || pending.tries >= claimrouter::mostTries) {
-        m_localFallbacks += own ? 0 : 1;
-        pending.direct = true;
-        hand(pending.what);
+    const bool isOwn = owner == m_membership.host() || address.empty();
+    if (isOwn || pending.attempts >= claimrouter::maxAttempts) {
+        m_localFallbacks += isOwn ? 0 : 1;
+        pending.isLocal = true;
+        submitLocally(pending.payload);
         return;
     }
-    ++pending.tries;
-    pending.nextTry = m_clock.now() + claimrouter::retryInterval;
-    PeerMessage message{m_membership.host(), m_membership.incarnation(), pending.what};
+    ++pending.attempts;
+    pending.nextAttempt = m_clock.now() + claimrouter::retryInterval;
+    PeerMessage message{m_membership.host(), m_membership.incarnation(), pending.payload};
     m_sends.push_back({owner, address, std::move(message)});
 }
 
 template <GuardPolicy G>
 void BasicClaimRouter<G>::claim(const ClaimRequest &request)
 {
-    if (m_finishes.size() >= claimrouter::mostUnwrittenEnds) {
+    if (m_finishes.size() >= claimrouter::maxUnwrittenFinishes) {
         m_decisions.push_back({request.claimant, request.key, ClaimVerdict::Unavailable, {}});
         return;
     }
     Pending<ClaimRequest> &pending = m_claims[request.claimant];
-    pending.what = request;
-    pending.giveUpAt = m_clock.now() + request.timeout;
+    pending.payload = request;
+    pending.expiresAt = m_clock.now() + request.timeout;
     send(pending);
 }
 
@@ -96,19 +97,19 @@
 void BasicClaimRouter<G>::finish(const ClaimFinish &finish)
 {
     const auto claimed = m_claims.find(finish.claimant);
-    const bool inOwnLedger = claimed != m_claims.end() && claimed->second.direct;
+    const bool isInLocalLedger = claimed != m_claims.end() && claimed->second.isLocal;
     if (claimed != m_claims.end()) {
         m_claims.erase(claimed);
     }
     Pending<ClaimFinish> &pending = m_finishes[finish.claimant];
-    pending.what = finish;
-    pending.tries = 0;
-    pending.direct = false;
-    pending.giveUpAt = TimePoint::max();
-    if (inOwnLedger) {
+    pending.payload = finish;
+    pending.attempts = 0;
+    pending.isLocal = false;
+    pending.expiresAt = TimePoint::max();
+    if (isInLocalLedger) {
         // The end must not overtake the claim, which may still wait there.
-        pending.direct = true;
-        hand(finish);
+        pending.isLocal = true;
+        submitLocally(finish);
         return;
     }
     send(pending);
@@ -118,20 +119,20 @@
 void BasicClaimRouter<G>::handleDecision(const ClaimDecision &decision, bool byPeer)
 {
     const auto found = m_claims.find(decision.claimant);
-    const bool known = found != m_claims.end();
-    if (known && decision.verdict == ClaimVerdict::Unavailable && byPeer) {
-        if (found->second.direct) {
+    const bool isKnown = found != m_claims.end();
+    if (isKnown && decision.verdict == ClaimVerdict::Unavailable && byPeer) {
+        if (found->second.isLocal) {
             // The own ledger has it by now and will say how it stands.
             return;
         }
         // The owner cannot reach the platform. This daemon may.
-        found->second.tries = claimrouter::mostTries;
+        found->second.attempts = claimrouter::maxAttempts;
         send(found->second);
         return;
     }
     const bool inDoubt =
-        known && decision.verdict == ClaimVerdict::Unavailable && found->second.tries > 0;
-    if (known) {
+        isKnown && decision.verdict == ClaimVerdict::Unavailable && found->second.attempts > 0;
+    if (isKnown) {
         m_claims.erase(found);
     }
     // An unknown claim's grant is passed on as well: its request gives it back.
@@ -148,11 +149,11 @@
 }
 
 template <GuardPolicy G>
-template <typename What>
-void BasicClaimRouter<G>::resend(std::map<RequestId, Pending<What>> &all)
+template <typename Payload>
+void BasicClaimRouter<G>::resend(std::map<RequestId, Pending<Payload>> &pendingItems)
 {
-    for (auto &[claimant, pending] : all) {
-        if (!pending.direct && m_clock.now() >= pending.nextTry) {
+    for (auto &[claimant, pending] : pendingItems) {
+        if (!pending.isLocal && m_clock.now() >= pending.nextAttempt) {
             send(pending);
         }
     }
@@ -162,7 +163,7 @@
 void BasicClaimRouter<G>::tick()
 {
     const TimePoint now = m_clock.now();
-    std::erase_if(m_claims, [now](const auto &entry) { return entry.second.giveUpAt <= now; });
+    std::erase_if(m_claims, [now](const auto &entry) { return entry.second.expiresAt <= now; });
     resend(m_claims);
     resend(m_finishes);
 }
@@ -172,10 +173,10 @@
 {
     TimePoint next = TimePoint::max();
     for (const auto &[claimant, pending] : m_claims) {
-        next = std::min(next, pending.direct ? pending.giveUpAt : pending.nextTry);
+        next = std::min(next, pending.isLocal ? pending.expiresAt : pending.nextAttempt);
     }
     for (const auto &[claimant, pending] : m_finishes) {
-        next = std::min(next, pending.direct ? TimePoint::max() : pending.nextTry);
+        next = std::min(next, pending.isLocal ? TimePoint::max() : pending.nextAttempt);
     }
     return next;
 }
--- a/include/harelink/Kernel/claims.h
+++ b/include/harelink/Kernel/claims.h
@@ -1,8 +1,7 @@
 //===- harelink/Kernel/claims.h - Claims on idempotency keys ----*- C++ -*-===//
 ///
 /// \file
-/// What passes between a request that may run at most once and the ledger of
-/// claims.
+/// Messages between a request that may run at most once and the claim ledger.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,45 +15,46 @@
 
 namespace harelink {
 
-/// Asks that \p claimant, and nobody else, may run the request of \p key.
+/// Requests the exclusive right of \p claimant to run the request with \p key.
 struct ClaimRequest
 {
     RequestId claimant;
     Hash128 key;        ///< Of account, pipeline and idempotency key.
     Hash128 digest;     ///< Of the method, path and body.
-    Duration timeout{}; ///< How long the claimant waits; a length, since hosts share no clock.
+    Duration timeout{}; ///< Client timeout; a duration, since hosts do not share a clock.
 };
 
-/// What became of a claim request.
+/// Result of a claim request.
 enum class ClaimVerdict {
-    Granted,     ///< The claimant, and nobody else, may run it.
-    Stored,      ///< It ran before; here is its answer.
-    KeyReused,   ///< The key came before with another digest.
-    MayHaveRun,  ///< Another claimant had it and nobody will learn how it went.
-    Unavailable, ///< The platform cannot be asked; nothing was or will be claimed.
+    Granted,     ///< The claimant has the exclusive right to run the request.
+    Stored,      ///< The request completed earlier; the decision contains its answer.
+    KeyReused,   ///< The key was used before with a different digest.
+    MayHaveRun,  ///< Another claimant held the key and its outcome cannot be determined.
+    Unavailable, ///< The platform cannot be reached; nothing was or will be claimed.
 };
 
-/// "granted", "stored" and so on.
+/// Returns the name of \p verdict, such as "granted".
 [[nodiscard]] std::string_view toText(ClaimVerdict verdict);
 
-/// Answers a ClaimRequest.
+/// Response to a ClaimRequest.
 struct ClaimDecision
 {
     RequestId claimant;
     Hash128 key;
     ClaimVerdict verdict = ClaimVerdict::Unavailable;
-    std::string answer;   ///< With Stored, byte for byte as it was first given.
-    bool inDoubt = false; ///< With Unavailable: a copy may still be written, so release it.
+    std::string answer;   ///< With Stored: the original answer, byte for byte.
+    bool inDoubt = false; ///< With Unavailable: a copy of the claim may still be written, so the
+                          ///< request must release it.
 };
 
-/// How a claimant ended.
+/// How a claimant finished.
 enum class ClaimOutcome {
-    Done,      ///< It ran; the answer is kept for retries.
-    Released,  ///< No byte was sent and none will be; the key may be claimed again.
-    Abandoned, ///< It may have run and will not be run again.
+    Done,      ///< The request ran; its answer is stored for retries.
+    Released,  ///< No byte was sent or will be sent; the key may be claimed again.
+    Abandoned, ///< The request may have run and will not be run again.
 };
 
-/// Tells the ledger how a claimant ended.
+/// Reports to the ledger how a claimant finished.
 struct ClaimFinish
 {
     RequestId claimant;
--- a/include/harelink/Kernel/crashes.h
+++ b/include/harelink/Kernel/crashes.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/crashes.h - Requests that end endpoints --*- C++ -*-===//
+//===- harelink/Kernel/crashes.h - Endpoint crash reports -------*- C++ -*-===//
 ///
 /// \file
-/// What is told of calls under which an endpoint ended. A request that crashes whatever
-/// runs it comes again under new ids, at any host: what is known of it has to be told by
-/// its digest, and by all hosts together.
+/// Events and messages about calls during which an endpoint crashed. A request that crashes
+/// every endpoint that runs it is retried under new ids at any host, so crashes are reported
+/// by the digest of the request and aggregated over all hosts.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,67 +20,67 @@
 
 namespace harelink {
 
-/// A call whose connection ended in the middle.
+/// A call whose connection closed before the response was complete.
 struct BrokenCall
 {
-    Hash128 digest; ///< Of its request, as digestOf() gives it.
+    Hash128 digest; ///< Of its request, as computed by digestOf().
     std::string pool;
     std::string endpoint;
-    std::string address; ///< Of the endpoint; empty where its life is known to be over.
+    std::string address; ///< Of the endpoint; empty if this endpoint process is known to be gone.
     TimePoint sentAt;
     TimePoint brokeAt;
-    std::string requester; ///< The host that has the request; empty for this one.
+    std::string requester; ///< The host that owns the request; empty for this host.
 };
 
-/// Action: take note of a call whose connection ended in the middle, as that of an endpoint
-/// does that ends.
+/// Action: report a call whose connection closed before the response was complete, which
+/// happens when an endpoint crashes.
 struct CallBroken
 {
     CallId call;
     std::string callerId;     ///< Of a proxied request.
-    std::uint64_t events = 0; ///< Of its request that were passed on before.
+    std::uint64_t events = 0; ///< Events of its request that were forwarded before.
     BrokenCall broken;        ///< Without the address.
 };
 
-/// Action: learn whether somebody still listens at an endpoint's address.
+/// Action: probe whether any process still listens at the address of an endpoint.
 struct EndpointProbe
 {
     std::string endpoint;
     std::string address;
 };
 
-/// What a probe met.
+/// Result of an endpoint probe.
 enum class ProbeOutcome {
-    Refused,  ///< Nobody listens: the endpoint has ended.
-    Accepted, ///< It lives; only the connection ended.
-    Unknown,  ///< No answer in time.
+    Refused,  ///< Nothing listens at the address: the endpoint has exited.
+    Accepted, ///< The endpoint is running; only the connection closed.
+    Unknown,  ///< No response within the timeout.
 };
 
-/// A short name, as in "refused".
+/// Returns the name of \p outcome, such as "refused".
 [[nodiscard]] std::string_view toText(ProbeOutcome outcome);
 
-/// Event: a probe ended.
+/// Event: a probe completed.
 struct EndpointProbeResult
 {
     std::string endpoint;
     ProbeOutcome outcome = ProbeOutcome::Unknown;
 };
 
-/// Action: the worker's word that requests with this digest were run to a good end.
+/// Action: report that a request with this digest completed successfully on this worker.
 struct RequestCleared
 {
     Hash128 digest;
 };
 
-/// Event: an endpoint ended under such a request; whether it runs to a good end elsewhere
-/// is to be told.
+/// Event: an endpoint crashed during a request with this digest; the worker reports its
+/// next successful completion by RequestCleared.
 struct RequestSuspected
 {
     Hash128 digest;
 };
 
-/// That an endpoint ended under a call of such a request. Hosts have no time in common, so
-/// times are told as ages.
+/// Reports that an endpoint crashed during a call of a request with this digest. Hosts do not
+/// share a clock, so times are sent as ages.
 struct CrashReport
 {
     Hash128 digest;
@@ -90,13 +90,13 @@
     Duration brokeAgo{};
 };
 
-/// Message: endpoints ended under calls of the sender.
+/// Message: endpoints crashed during calls of the sender.
 struct CrashReports
 {
     std::vector<CrashReport> reports;
 };
 
-/// Message: such requests were run to a good end at the sender.
+/// Message: requests with these digests completed successfully at the sender.
 struct CrashesCleared
 {
     std::vector<Hash128> digests;
