--- a/include/harelink/Kernel/claimledger.h
+++ b/include/harelink/Kernel/claimledger.h
@@ -96,8 +96,8 @@
     /// Handles the result of a call; returns false if this ledger did not make it.
     bool handle(const PlatformResult &result);
     /// Return the decisions and written outcomes since the last call.
-    [[nodiscard]] std::vector<ClaimReply> takeReplies();
-    [[nodiscard]] std::vector<FinishReply> takeFinished();
+    [[nodiscard]] std::vector<ClaimReply> drainReplies();
+    [[nodiscard]] std::vector<FinishReply> drainFinished();
     /// Returns when tick() is due next.
     [[nodiscard]] TimePoint nextTick() const;
     /// Returns true if no operation waits to be written or confirmed.
--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -57,13 +57,13 @@
 }
 
 template <GuardPolicy G>
-std::vector<ClaimReply> BasicClaimLedger<G>::takeReplies()
+std::vector<ClaimReply> BasicClaimLedger<G>::drainReplies()
 {
     return std::exchange(m_replies, {});
 }
 
 template <GuardPolicy G>
-std::vector<FinishReply> BasicClaimLedger<G>::takeFinished()
+std::vector<FinishReply> BasicClaimLedger<G>::drainFinished()
 {
     return std::exchange(m_finished, {});
 }
--- a/include/harelink/Kernel/claimrouter.h
+++ b/include/harelink/Kernel/claimrouter.h
@@ -39,8 +39,8 @@
     /// Resends unanswered messages, or falls back to the local ledger.
     void tick();
 
-    [[nodiscard]] std::vector<PeerSend> takeSends();
-    [[nodiscard]] std::vector<ClaimDecision> takeDecisions();
+    [[nodiscard]] std::vector<PeerSend> drainSends();
+    [[nodiscard]] std::vector<ClaimDecision> drainDecisions();
     [[nodiscard]] TimePoint nextTick() const;
     /// Returns true if no claim or outcome is unanswered.
     [[nodiscard]] bool idle() const { return m_claims.empty() && m_finishes.empty(); }
--- a/include/harelink/Kernel/claimrouterimpl.h
+++ b/include/harelink/Kernel/claimrouterimpl.h
@@ -37,13 +37,13 @@
 }
 
 template <GuardPolicy G>
-std::vector<PeerSend> BasicClaimRouter<G>::takeSends()
+std::vector<PeerSend> BasicClaimRouter<G>::drainSends()
 {
     return std::exchange(m_sends, {});
 }
 
 template <GuardPolicy G>
-std::vector<ClaimDecision> BasicClaimRouter<G>::takeDecisions()
+std::vector<ClaimDecision> BasicClaimRouter<G>::drainDecisions()
 {
     return std::exchange(m_decisions, {});
 }
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -146,7 +146,7 @@
     forwardLedgerReplies();
     takeCrashes();
     giveOutConfig();
-    for (PeerSend &send : m_router.takeSends()) {
+    for (PeerSend &send : m_router.drainSends()) {
         m_output.sends.push_back(std::move(send));
     }
     for (PeerSend &send : m_gossip.drainSends()) {
@@ -154,7 +154,7 @@
     }
     m_output.endedEndpoints = m_config.drainEndedEndpoints();
     m_output.faults = m_config.drainFaults();
-    for (ClaimDecision &decision : m_router.takeDecisions()) {
+    for (ClaimDecision &decision : m_router.drainDecisions()) {
         m_output.decisions.push_back(std::move(decision));
     }
     return std::exchange(m_output, {});
@@ -164,12 +164,12 @@
 template <GuardPolicy G>
 void BasicControlMachine<G>::takeCrashes()
 {
-    for (PeerSend &send : m_crashes.takeSends()) {
+    for (PeerSend &send : m_crashes.drainSends()) {
         m_output.sends.push_back(std::move(send));
     }
-    m_output.probes = m_crashes.takeProbes();
-    m_output.suspects = m_crashes.takeSuspects();
-    m_output.quarantines = m_crashes.takeDecisions();
+    m_output.probes = m_crashes.drainProbes();
+    m_output.suspects = m_crashes.drainSuspects();
+    m_output.quarantines = m_crashes.drainDecisions();
     // In force here at once: the platform may be away.
     m_configPending = m_configPending || !m_output.quarantines.empty();
 }
@@ -226,8 +226,8 @@
 void BasicControlMachine<G>::forwardLedgerReplies()
 {
     // Handing a refused claim on may make the ledger reply again.
-    for (auto replies = m_ledger.takeReplies(); !replies.empty();
-         replies = m_ledger.takeReplies()) {
+    for (auto replies = m_ledger.drainReplies(); !replies.empty();
+         replies = m_ledger.drainReplies()) {
         for (const ClaimReply &reply : replies) {
             if (reply.host.empty()) {
                 m_router.handleDecision(reply.decision, false);
@@ -236,7 +236,7 @@
             }
         }
     }
-    for (const FinishReply &reply : m_ledger.takeFinished()) {
+    for (const FinishReply &reply : m_ledger.drainFinished()) {
         if (reply.host.empty()) {
             m_router.handleFinished(reply.claimant);
         } else {
--- a/include/harelink/Kernel/crashconfirmer.h
+++ b/include/harelink/Kernel/crashconfirmer.h
@@ -28,9 +28,12 @@
     /// Takes in what a probe met.
     void handle(const EndpointProbeResult &event);
     /// The probes to make.
-    [[nodiscard]] std::vector<EndpointProbe> takeProbes() { return std::exchange(m_probes, {}); }
+    [[nodiscard]] std::vector<EndpointProbe> drainProbes() { return std::exchange(m_probes, {}); }
     /// The calls under which an endpoint has ended.
-    [[nodiscard]] std::vector<BrokenCall> takeConfirmed() { return std::exchange(m_confirmed, {}); }
+    [[nodiscard]] std::vector<BrokenCall> drainConfirmed()
+    {
+        return std::exchange(m_confirmed, {});
+    }
 
 private:
     /// The calls to one endpoint that broke lately.
--- a/include/harelink/Kernel/crashdetector.h
+++ b/include/harelink/Kernel/crashdetector.h
@@ -56,14 +56,14 @@
               std::uint64_t &nextCallId);
 
     /// The actions that came up since the last call.
-    [[nodiscard]] std::vector<EndpointProbe> takeProbes() { return m_confirmer.takeProbes(); }
-    [[nodiscard]] std::vector<PeerSend> takeSends() { return std::exchange(m_sends, {}); }
+    [[nodiscard]] std::vector<EndpointProbe> drainProbes() { return m_confirmer.drainProbes(); }
+    [[nodiscard]] std::vector<PeerSend> drainSends() { return std::exchange(m_sends, {}); }
     /// For the workers: requests whose good ends are to be told.
-    [[nodiscard]] std::vector<RequestSuspected> takeSuspects()
+    [[nodiscard]] std::vector<RequestSuspected> drainSuspects()
     {
         return std::exchange(m_suspects, {});
     }
-    [[nodiscard]] std::vector<QuarantineDecision> takeDecisions()
+    [[nodiscard]] std::vector<QuarantineDecision> drainDecisions()
     {
         return std::exchange(m_decisions, {});
     }
@@ -72,7 +72,7 @@
     [[nodiscard]] TimePoint nextTick() const { return m_publisher.nextTick(); }
 
 private:
-    void takeConfirmed();
+    void reportConfirmed();
     void count(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt);
     [[nodiscard]] std::vector<std::string> countersOf(const Hash128 &digest) const;
     void send(const std::string &host, decltype(PeerMessage::content) content);
--- a/lib/Kernel/crashdetector.cpp
+++ b/lib/Kernel/crashdetector.cpp
@@ -26,20 +26,20 @@
 void CrashDetector::handle(BrokenCall call)
 {
     m_confirmer.add(std::move(call));
-    takeConfirmed();
+    reportConfirmed();
 }
 
 void CrashDetector::handle(const EndpointProbeResult &event)
 {
     m_confirmer.handle(event);
-    takeConfirmed();
+    reportConfirmed();
 }
 
-void CrashDetector::takeConfirmed()
+void CrashDetector::reportConfirmed()
 {
     const TimePoint now = m_clock.now();
     std::map<std::string, CrashReports> byHost;
-    for (const BrokenCall &call : m_confirmer.takeConfirmed()) {
+    for (const BrokenCall &call : m_confirmer.drainConfirmed()) {
         const CrashReport report{call.digest, call.pool, call.endpoint, now - call.sentAt,
                                  now - call.brokeAt};
         count(report, call.sentAt, call.brokeAt);
--- a/unittests/Kernel/claimledgertest.cpp
+++ b/unittests/Kernel/claimledgertest.cpp
@@ -68,9 +68,9 @@
     const PlatformCall put = bench.nextCall();
     CHECK(put.operation == PlatformOperation::Put);
     CHECK_EQUAL(0u, put.ifVersion);
-    CHECK(bench.ledger.takeReplies().empty());
+    CHECK(bench.ledger.drainReplies().empty());
     bench.answer(put, PlatformOutcome::Ok, firstVersion);
-    CHECK(bench.ledger.takeReplies().at(0).decision.verdict == ClaimVerdict::Granted);
+    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Granted);
 }
 
 TEST(ClaimLedger, AnUnmovedVersionSettlesNothing)
@@ -83,7 +83,7 @@
     const PlatformCall again = bench.nextCall();
     CHECK(again.operation == PlatformOperation::Put);
     CHECK_EQUAL(0u, again.ifVersion);
-    CHECK(bench.ledger.takeReplies().empty());
+    CHECK(bench.ledger.drainReplies().empty());
 }
 
 // The claim was handed to the next update, whose refusal then had it refused as
@@ -96,7 +96,7 @@
     bench.answer(put, PlatformOutcome::Unanswered);
     bench.claim(2);
     bench.answer(bench.nextCall(), PlatformOutcome::Ok, firstVersion, put.value);
-    const std::vector<ClaimReply> replies = bench.ledger.takeReplies();
+    const std::vector<ClaimReply> replies = bench.ledger.drainReplies();
     CHECK_EQUAL(1u, replies.size());
     CHECK_EQUAL(1u, replies[0].decision.claimant.sequence);
     CHECK(replies[0].decision.verdict == ClaimVerdict::Granted);
@@ -106,10 +106,10 @@
 {
     bench.claim(1);
     bench.answer(bench.nextCall(), PlatformOutcome::Unanswered);
-    CHECK(bench.ledger.takeReplies().empty());
+    CHECK(bench.ledger.drainReplies().empty());
     bench.answer(bench.nextCall(), PlatformOutcome::Refused);
-    CHECK(bench.ledger.takeReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
+    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
     // Known to be out: the next one learns it at once.
     bench.claim(2);
-    CHECK(bench.ledger.takeReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
+    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
 }
--- a/unittests/Kernel/crashcountertest.cpp
+++ b/unittests/Kernel/crashcountertest.cpp
@@ -123,15 +123,15 @@
 {
     CrashConfirmer confirmer;
     confirmer.add(brokenCall(innocent));
-    LONGS_EQUAL(1, confirmer.takeProbes().size());
+    LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
-    LONGS_EQUAL(0, confirmer.takeConfirmed().size());
+    LONGS_EQUAL(0, confirmer.drainConfirmed().size());
     confirmer.add(brokenCall(innocent));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Unknown});
-    LONGS_EQUAL(0, confirmer.takeConfirmed().size());
+    LONGS_EQUAL(0, confirmer.drainConfirmed().size());
     confirmer.add(brokenCall(guilty));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
-    CHECK(confirmer.takeConfirmed().at(0).digest == guilty);
+    CHECK(confirmer.drainConfirmed().at(0).digest == guilty);
 }
 
 // The probe may have met the endpoint before it ended.
@@ -140,11 +140,11 @@
     CrashConfirmer confirmer;
     confirmer.add(brokenCall(innocent));
     confirmer.add(brokenCall(guilty));
-    LONGS_EQUAL(1, confirmer.takeProbes().size());
+    LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
-    LONGS_EQUAL(1, confirmer.takeProbes().size());
+    LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
-    const std::vector<BrokenCall> confirmed = confirmer.takeConfirmed();
+    const std::vector<BrokenCall> confirmed = confirmer.drainConfirmed();
     LONGS_EQUAL(1, confirmed.size());
     CHECK(confirmed.at(0).digest == guilty);
 }
@@ -153,6 +153,6 @@
 {
     CrashConfirmer confirmer;
     confirmer.add(brokenCall(guilty, ""));
-    LONGS_EQUAL(0, confirmer.takeProbes().size());
-    LONGS_EQUAL(1, confirmer.takeConfirmed().size());
+    LONGS_EQUAL(0, confirmer.drainProbes().size());
+    LONGS_EQUAL(1, confirmer.drainConfirmed().size());
 }
