--- a/include/harelink/Kernel/piecebatcher.h
+++ b/include/harelink/Kernel/piecebatcher.h
@@ -1,10 +1,10 @@
-//===- harelink/Kernel/piecebatcher.h - Calls of many pieces ----*- C++ -*-===//
+//===- harelink/Kernel/piecebatcher.h - Batching of pieces ------*- C++ -*-===//
 ///
 /// \file
 /// Forms the calls to the endpoints of the pools whose batcher this daemon is. Pieces
-/// wait in one queue a pool; a call is formed when an endpoint is free, or about to be:
-/// what comes until then rides along, and the endpoint never waits. Belongs to the
-/// control thread.
+/// wait in one queue per pool. A call is formed when an endpoint is free or about to
+/// become free: pieces that arrive until then join the call, and the endpoint does not
+/// idle. Used on the control thread only.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,30 +27,30 @@
 
 namespace harelink {
 
-/// What a call was formed from, for the log.
+/// Figures of how a call was formed, for the log.
 struct PieceCallStats
 {
     std::string pool;
-    std::size_t waiting = 0;            ///< Pieces that were left for later calls.
-    std::size_t lackingBufferSpace = 0; ///< Of these, passed over for want of room there.
-    std::uint64_t allocatedBytes = 0;   ///< Room taken at the endpoint, with this call.
-    std::uint64_t roomBytes = 0;        ///< All its room; 0 where it has no limit.
-    Duration longestWait{};             ///< Of a piece in the call, from its order on.
+    std::size_t waiting = 0;            ///< Pieces left for later calls.
+    std::size_t lackingBufferSpace = 0; ///< Of these, left out for lack of buffer space.
+    std::uint64_t allocatedBytes = 0;   ///< Allocated at the endpoint, including this call.
+    std::uint64_t roomBytes = 0;        ///< Total buffer space; 0 if unlimited.
+    Duration longestWait{};             ///< Longest time in the queue of a piece of the call.
 };
 
-/// Action: call an endpoint.
+/// Action: sends a call to an endpoint.
 struct PieceCall
 {
-    std::uint64_t id = 0; ///< Comes back in the event.
+    std::uint64_t id = 0; ///< Returned in PieceCallEnded.
     std::string endpoint;
-    std::string endpointIdentity; ///< What the endpoint at the address must call itself.
+    std::string endpointIdentity; ///< The identity that the endpoint must report.
     std::string address;
-    std::vector<PieceOrder> orders; ///< Of any requests.
+    std::vector<PieceOrder> orders; ///< Of one or more requests.
     Duration timeout{};
     PieceCallStats stats;
 };
 
-/// What an endpoint says of one piece of a call.
+/// The result of one piece of a call, as the endpoint reported it.
 struct PieceResult
 {
     std::string handle;
@@ -61,181 +61,185 @@
 struct PieceCallEnded
 {
     std::uint64_t id = 0;
-    bool answered = false;            ///< The results are there, in the order of the call.
-    std::vector<PieceResult> results; ///< Where it was answered.
-    SendEvidence evidence = SendEvidence::Sent; ///< Where it was not.
-    bool isEndpointReplaced = false;            ///< Another endpoint has taken over the address.
+    bool answered = false;                      ///< Whether results were received.
+    std::vector<PieceResult> results;           ///< In the order of the call, if answered.
+    SendEvidence evidence = SendEvidence::Sent; ///< Valid if not answered.
+    bool isEndpointReplaced = false;            ///< Another endpoint answered at the address.
     absl::Status status;
-    std::optional<EndpointNotice> notice; ///< Absent where nothing came from the endpoint.
+    std::optional<EndpointNotice> notice; ///< std::nullopt if the endpoint did not reply.
 };
 
-/// Outcomes for the daemon \p host; empty for this one.
+/// Outcomes to send to the daemon `host`, which is empty for this daemon.
 struct OutgoingPieceOutcomes
 {
     std::string host;
     PieceOutcomes outcomes;
 };
 
-/// \p time times \p factor.
+/// Returns \p time multiplied by \p factor.
 [[nodiscard]] inline Duration scaled(Duration time, double factor)
 {
     return std::chrono::duration_cast<Duration>(time * factor);
 }
 
-/// The batcher.
+/// Batches the pieces of the pools that this daemon is responsible for.
 class PieceBatcher
 {
 public:
-    /// \param clock outlives the batcher.
+    /// \param clock must outlive the batcher.
     explicit PieceBatcher(const Clock &clock);
 
-    /// Takes in orders of the daemon \p host; empty for this one.
+    /// Queues orders of the daemon \p host, which is empty for this daemon.
     void handle(const std::string &host, const PieceOrders &orders, const Snapshot &snapshot);
-    /// Takes in that \p host wants nothing more for some requests.
+    /// Removes the queued pieces of requests that \p host cancelled.
     void withdraw(const std::string &host, const PieceWithdrawal &withdrawal);
-    /// Takes in that results are no longer needed.
+    /// Frees results that are no longer needed.
     void handle(const PieceFrees &frees, const Snapshot &snapshot);
     void handle(const PieceCallEnded &event, const Snapshot &snapshot);
-    /// Takes in that the life of \p endpoint is over, though it may go on under another name:
-    /// its calls fail, and its results are gone.
+    /// Handles the end of \p endpoint, which may have restarted under another identity: its
+    /// calls fail, and its results are lost.
     void endpointEnded(const std::string &endpoint, const Snapshot &snapshot);
-    /// Takes in that the daemon \p host is gone: what it ordered is wanted by nobody, and the
-    /// room that its results take is given back. One that comes back orders anew.
+    /// Handles the loss of the daemon \p host: drops its orders and frees its results. A daemon
+    /// that returns sends its orders again.
     ///
-    /// It answers the loss of many daemons at once: results that nobody frees take room for
-    /// the seconds that endpoints keep them; after half of six daemons were lost, 0.93 of
-    /// the room of a stage was taken for four seconds.
+    /// Without this, results of lost daemons occupy buffer space until they expire at their
+    /// endpoints: after the loss of three of six daemons, 93% of the buffer space of a stage
+    /// stayed occupied for 4 s.
     void removeHost(const std::string &host, const Snapshot &snapshot);
-    /// Forms the calls that are due.
+    /// Forms all calls that are due.
     void tick(const Snapshot &snapshot);
     [[nodiscard]] TimePoint nextTick() const;
 
-    /// What came up since the last call.
+    /// These return what has accumulated since they were last called.
     [[nodiscard]] std::vector<PieceCall> drainCalls() { return std::exchange(m_calls, {}); }
     [[nodiscard]] std::vector<OutgoingPieceOutcomes> drainOutcomes(const Snapshot &snapshot);
-    /// Results that are to be freed now.
+    /// Returns the handles of results to free now; empty until the next batch of frees is due.
     [[nodiscard]] std::vector<std::string> drainFreedResults();
-    /// Endpoints whose address another one answered at.
+    /// Returns endpoints at whose address another endpoint answered.
     [[nodiscard]] std::vector<std::string> drainReplacedEndpoints()
     {
-        return std::exchange(m_replaced, {});
+        return std::exchange(m_replacedEndpoints, {});
     }
-    /// How busy each pool is that this daemon has calls or orders of.
+    /// Returns the backlog of each pool that has calls or orders here, or had them recently.
     [[nodiscard]] std::vector<PieceBacklog> backlogs(const Snapshot &snapshot) const;
-    /// Whether no call is in flight and no order waits.
+    /// Returns whether no call is in flight and no order waits.
     [[nodiscard]] bool idle() const;
-    /// Calls made and the pieces in them.
+    /// Total calls sent, and pieces in them.
     [[nodiscard]] std::uint64_t callCount() const { return m_callCount; }
     [[nodiscard]] std::uint64_t pieceCount() const { return m_pieceCount; }
 
 private:
-    struct Item
+    /// An order that waits for a call, or is part of one.
+    struct QueuedPiece
     {
         std::string host;
         PieceOrder order;
-        TimePoint wanted;
-        TimePoint due;
+        TimePoint objective;
+        TimePoint deadline;
         std::uint32_t refusals = 0;
-        TimePoint takenAt;
-        Duration predicted{}; ///< From then until it would be made.
+        TimePoint receivedAt;
+        Duration predicted{}; ///< Predicted time from receipt to completion.
     };
-    struct Flight
+    /// A call in flight.
+    struct ActiveCall
     {
         std::uint64_t id = 0;
-        std::vector<Item> items;
+        std::vector<QueuedPiece> items;
         TimePoint sentAt;
         TimePoint expectedEnd;
-        Duration declared{}; ///< The time that the pool's declaration gives for it.
+        Duration declared{}; ///< Call time according to the pool's configuration.
     };
-    /// What is kept of one endpoint.
-    struct Maker
+    /// The state of one endpoint.
+    struct EndpointState
     {
-        std::vector<Flight> flights;
+        std::vector<ActiveCall> activeCalls;
         double slowness = 1;
         TimePoint blockedUntil;
-        std::uint32_t unreachable = 0; ///< Connections in a row that were not made.
-        std::uint32_t refusals = 0;    ///< Calls in a row that it did not take.
+        std::uint32_t unreachable = 0; ///< Consecutive failed connection attempts.
+        std::uint32_t refusals = 0;    ///< Consecutive refused calls.
     };
-    /// What is kept of one pool.
-    struct Line
+    /// The state of one pool, or of one part of a divided pool.
+    struct PoolQueue
     {
-        std::vector<Item> waiting;
-        std::map<std::string, Maker> makers; ///< By endpoint.
-        ResultBufferUsage room;              ///< At its endpoints.
-        TimePoint nextLook = TimePoint::max();
-        TimePoint looksAgainAt; ///< Not before, where many pieces wait.
-        TimePoint lastBusy;     ///< When an order came or a call ended last.
+        std::vector<QueuedPiece> waiting;
+        std::map<std::string, EndpointState> endpointStates; ///< By name.
+        ResultBufferUsage bufferUsage;                       ///< Of its endpoints.
+        TimePoint nextScan = TimePoint::max();
+        TimePoint noScanBefore; ///< See isScanThrottled().
+        TimePoint lastActive;   ///< Time of the last order or end of a call.
         double correction = 1;  ///< See PieceBacklog.
     };
-    /// An endpoint of a pool that takes calls, as one look at the pool's line sees it.
-    struct Site
+    /// An endpoint that accepts calls, evaluated once per scan of the queue.
+    struct Candidate
     {
         const EndpointEntry *endpoint = nullptr;
-        TimePoint freeAt;                 ///< When it can take its next call.
-        TimePoint endAt;                  ///< When a call with one piece would end there.
-        std::uint64_t allocatedBytes = 0; ///< Room that is taken, or promised to calls in flight.
-        bool isPassed = false;            ///< It is free, but with nothing to do.
-        /// Left to its next call by pieces that wait for it, in the choice under way.
-        std::size_t promisedPlaces = 0;
-        std::uint64_t promisedBytes = 0;
+        TimePoint nextCallAt;             ///< When it accepts its next call.
+        TimePoint endsAt;                 ///< When a minimal call sent then would end.
+        std::uint64_t allocatedBytes = 0; ///< Used by results, or reserved for calls in flight.
+        bool isSkipped = false;           ///< It is available, but no waiting piece may go there.
+        /// Reserved in its next call by pieces that wait for it, during one selectBatch().
+        std::size_t reservedSlots = 0;
+        std::uint64_t reservedBytes = 0;
     };
-    using Sites = std::vector<Site>;
-    /// A choice of waiting pieces for one call.
-    struct Choice
+    using Candidates = std::vector<Candidate>;
+    /// The waiting pieces selected for one call.
+    struct BatchSelection
     {
-        std::vector<std::size_t> places;    ///< In the line's queue, rising.
-        std::size_t lackingBufferSpace = 0; ///< Pieces left out for want of room.
-        std::uint64_t allocatedBytes = 0;   ///< Room taken at the endpoint, with these.
+        std::vector<std::size_t> indices;   ///< Into PoolQueue::waiting, ascending.
+        std::size_t lackingBufferSpace = 0; ///< Pieces left out for lack of buffer space.
+        std::uint64_t allocatedBytes = 0;   ///< At the endpoint, including these pieces.
     };
 
-    void pump(const std::string &poolName, Line &line, const Snapshot &snapshot);
-    void dropLate(Line &line, const std::string &poolName, const PoolEntry &pool);
-    void learnWait(Line &line, const Item &item) const;
-    static void sortByUrgency(Line &line, TimePoint now, const PieceWorkSpec &work);
-    [[nodiscard]] Sites sitesOf(const Line &line, const PoolEntry &pool) const;
-    [[nodiscard]] Site siteOf(const EndpointEntry &endpoint, const Line &line,
-                              const PieceWorkSpec &work) const;
-    [[nodiscard]] bool looksTooOften(const Line &line, const PieceWorkSpec &work) const;
-    bool form(const Site &site, Sites &sites, Line &line, const PoolEntry &pool);
-    [[nodiscard]] Choice choose(const Site &site, Sites &sites, const Line &line,
-                                const PoolEntry &pool) const;
-    [[nodiscard]] static std::size_t endOfGroup(const std::vector<Item> &waiting,
+    void formCalls(const std::string &poolName, PoolQueue &queue, const Snapshot &snapshot);
+    void dropLate(PoolQueue &queue, const std::string &poolName, const PoolEntry &pool);
+    void updateCorrection(PoolQueue &queue, const QueuedPiece &item) const;
+    static void sortByUrgency(PoolQueue &queue, TimePoint now, const PieceWorkSpec &work);
+    [[nodiscard]] Candidates candidatesFor(const PoolQueue &queue, const PoolEntry &pool) const;
+    [[nodiscard]] Candidate candidateFor(const EndpointEntry &endpoint, const PoolQueue &queue,
+                                         const PieceWorkSpec &work) const;
+    [[nodiscard]] bool isScanThrottled(const PoolQueue &queue, const PieceWorkSpec &work) const;
+    bool formCall(const Candidate &candidate, Candidates &candidates, PoolQueue &queue,
+                  const PoolEntry &pool);
+    [[nodiscard]] BatchSelection selectBatch(const Candidate &candidate, Candidates &candidates,
+                                             const PoolQueue &queue, const PoolEntry &pool) const;
+    [[nodiscard]] static std::size_t endOfGroup(const std::vector<QueuedPiece> &waiting,
                                                 std::size_t begin);
-    [[nodiscard]] std::uint64_t allocatedBytes(const Line &line, const std::string &endpoint,
+    [[nodiscard]] std::uint64_t allocatedBytes(const PoolQueue &queue, const std::string &endpoint,
                                                const PieceWorkSpec &work) const;
-    [[nodiscard]] bool waitsForNearer(const Item &item, std::size_t count, const Site &here,
-                                      Sites &sites, const PieceWorkSpec &work) const;
-    void send(const EndpointEntry &endpoint, Maker &maker, std::vector<Item> items,
+    [[nodiscard]] bool defersToCloser(const QueuedPiece &item, std::size_t count,
+                                      const Candidate &here, Candidates &candidates,
+                                      const PieceWorkSpec &work) const;
+    void send(const EndpointEntry &endpoint, EndpointState &state, std::vector<QueuedPiece> items,
               const PieceWorkSpec &work);
-    [[nodiscard]] Site *nextFree(Sites &sites) const;
-    [[nodiscard]] static TimePoint freeAt(const Line &line, const EndpointEntry &endpoint,
-                                          TimePoint now);
-    void settle(const std::string &pool, const Item &item, const std::string &endpoint,
-                const std::string &handle, PieceFault fault);
-    void end(const std::string &pool, Line &line, const std::string &endpoint, Flight flight,
-             const PieceCallEnded &event, const Snapshot &snapshot);
-    void learn(const std::string &endpoint, Line &line, const Flight &flight,
-               const PieceCallEnded &event, const PoolEntry &pool);
-    void keep(Line &line, const std::string &endpoint, const Flight &flight,
-              const PieceCallEnded &event, TimePoint now, Duration life);
-    void noteIncarnation(const std::string &host, Incarnation incarnation);
-    void drop(const std::string &host);
-    void freeSoon(const std::vector<std::string> &handles);
-    [[nodiscard]] bool isWanted(const Item &item) const;
-    [[nodiscard]] static bool isBusy(const Line &line);
-    [[nodiscard]] PieceBacklog backlogOf(const std::string &pool, const Line &line,
+    [[nodiscard]] Candidate *bestAvailable(Candidates &candidates) const;
+    [[nodiscard]] static TimePoint nextCallAt(const PoolQueue &queue, const EndpointEntry &endpoint,
+                                              TimePoint now);
+    void addOutcome(const std::string &pool, const QueuedPiece &item, const std::string &endpoint,
+                    const std::string &handle, PieceFault fault);
+    void finishCall(const std::string &pool, PoolQueue &queue, const std::string &endpoint,
+                    ActiveCall activeCall, const PieceCallEnded &event, const Snapshot &snapshot);
+    void recordCallEnd(const std::string &endpoint, PoolQueue &queue, const ActiveCall &activeCall,
+                       const PieceCallEnded &event, const PoolEntry &pool);
+    void addResults(PoolQueue &queue, const std::string &endpoint, const ActiveCall &activeCall,
+                    const PieceCallEnded &event, TimePoint now, Duration lifetime);
+    void updateIncarnation(const std::string &host, Incarnation incarnation);
+    void dropOrdersOf(const std::string &host);
+    void queueFrees(const std::vector<std::string> &handles);
+    [[nodiscard]] bool isFromCurrentIncarnation(const QueuedPiece &item) const;
+    [[nodiscard]] static bool isBusy(const PoolQueue &queue);
+    [[nodiscard]] PieceBacklog backlogOf(const std::string &pool, const PoolQueue &queue,
                                          const Snapshot &snapshot) const;
 
     const Clock &m_clock;
-    std::map<std::string, Line> m_lines; ///< By pool, or by its part where it is divided.
+    std::map<std::string, PoolQueue> m_queues; ///< By pool, or by part if it is divided.
     std::uint64_t m_nextCallId = 1;
     std::vector<PieceCall> m_calls;
     /// By host and pool.
     std::map<std::pair<std::string, std::string>, std::vector<PieceOutcome>> m_outcomes;
-    std::map<std::string, Incarnation> m_incarnations; ///< By daemon, of its last orders.
-    std::vector<std::string> m_replaced;
-    std::vector<std::string> m_freed;
-    TimePoint m_freeAt = TimePoint::max();
+    std::map<std::string, Incarnation> m_incarnations; ///< Of the last orders, by daemon.
+    std::vector<std::string> m_replacedEndpoints;
+    std::vector<std::string> m_pendingFrees;
+    TimePoint m_flushFreesAt = TimePoint::max();
     std::uint64_t m_callCount = 0;
     std::uint64_t m_pieceCount = 0;
 };
--- a/include/harelink/Kernel/pieceforecast.h
+++ b/include/harelink/Kernel/pieceforecast.h
@@ -1,8 +1,9 @@
-//===- harelink/Kernel/pieceforecast.h - When pieces are made ---*- C++ -*-===//
+//===- harelink/Kernel/pieceforecast.h - Completion forecasts ---*- C++ -*-===//
 ///
 /// \file
-/// Predicts when pieces would be made, from what the batcher told of their pool and
-/// from own orders since. Admission counts with it.
+/// Predicts when pieces would complete, from the backlog that the batcher of their pool
+/// reported and from this daemon's orders since then. Used for admission and for
+/// the choice of a data centre.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,44 +17,47 @@
 
 namespace harelink {
 
-/// The time until \p pieces more pieces of \p priority would be made by \p pool. What is
-/// less urgent does not stand in their way.
+/// Returns the predicted time until \p pool completes \p pieces additional pieces of
+/// \p priority. Waiting pieces of less urgent classes are not counted.
 [[nodiscard]] Duration predictCompletion(const PoolEntry &pool, std::uint32_t pieces, int priority,
                                          TimePoint now);
-/// Whether \p pool has places that nobody else wants: what waits, of whatever urgency,
-/// takes less than sparePart of the next call of each endpoint.
+/// Returns whether \p pool has spare batch slots: the waiting pieces of all priorities take
+/// less than spareFraction of the next call of each endpoint.
 ///
-/// It answers bursts that fill a stage: whoever is taken in to be late then takes room and
-/// places of those that can be in time, and holds results while it waits behind them. Over
-/// three sites, three seeds of five days each, worth rose by 0.018, 0.023 and 0.008 against
-/// no such condition (0.554 to 0.572, 0.357 to 0.380, 0.471 to 0.479).
+/// Limits best-effort admission during bursts that fill a stage: requests admitted late
+/// would take buffer space and batch slots from requests that can still be in time, and
+/// hold results while they wait behind them. Over three sites with three seeds of five days
+/// each, this condition raised the worth by 0.018, 0.023 and 0.008 (from 0.554 to 0.572,
+/// 0.357 to 0.380 and 0.471 to 0.479).
 [[nodiscard]] bool hasSpareBatchSlots(const PoolEntry &pool);
-/// Pieces of one stage of one request, as far as their place goes.
+/// The pieces of one stage of one request, with what decides where they are computed.
 struct PieceGroup
 {
     std::uint32_t count = 1;
     int priority = 0;
     PieceTransfers transfers;
-    std::string avoid;               ///< The part of the pool that failed them, if any.
-    std::uint64_t selectionHash = 0; ///< Decides which other part is compared with.
+    std::string avoid;               ///< The part of the pool that failed these pieces, if any.
+    std::uint64_t selectionHash = 0; ///< Selects the part to compare the nearest one with.
 
-    /// The draw for \p stage of \p request, the same in each forecast and for the order.
+    /// Returns the hash for \p stage of \p request, which is the same for all forecasts and
+    /// for the order.
     [[nodiscard]] static std::uint64_t selectionHashOf(const RequestId &request,
                                                        std::uint32_t stage);
 };
 
-/// The part of \p pool where \p group is to be made: the one with the least crossings,
-/// unless one other, drawn for this group, is predicted to be sooner by far, with
-/// crossings counted as time. The pool itself where it is not divided.
+/// Returns the part of \p pool that should compute \p group, or the pool itself if it is not
+/// divided. This is the part with the lowest transfer cost, unless one other part, selected
+/// by the group's hash, is predicted to complete the group clearly sooner with the transfer
+/// cost included.
 ///
-/// Forecasts are half a second old and the same at all daemons. Were each to take the part
-/// that looks best, all would go to the same one: 72 in 100 groups changed their data
-/// centre, and pools at 70 in 100 of their capacity let pieces wait for a second.
+/// Only one other part is considered because forecasts are up to 0.5 s old and the same at
+/// all daemons. When each daemon chose the best part, all chose the same one: 72% of the
+/// groups changed their data centre, and pieces waited for 1 s in pools at 70% of their capacity.
 [[nodiscard]] const PoolEntry &choosePart(const Snapshot &snapshot, const PoolEntry &pool,
                                           const PieceGroup &group, TimePoint now);
-/// Takes in what the batcher of \p pool told.
+/// Records the backlog that the batcher of \p pool reported.
 void recordBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now);
-/// Takes in that \p pieces more are ordered there.
+/// Records that \p pieces more pieces were ordered from \p pool.
 void recordOrdered(const PoolEntry &pool, std::uint32_t pieces, int priority);
 
 } // namespace harelink
--- a/include/harelink/Kernel/piecegraph.h
+++ b/include/harelink/Kernel/piecegraph.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/piecegraph.h - A request's pieces --------*- C++ -*-===//
+//===- harelink/Kernel/piecegraph.h - Piece dependencies --------*- C++ -*-===//
 ///
 /// \file
-/// Which pieces of a request are made, which can be made now, and which results
-/// each of them needs.
+/// Tracks the pieces of a request: which are completed, which are ready to be
+/// computed, and which results each of them reads.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,85 +20,85 @@
 
 namespace harelink {
 
-/// A piece within its request.
+/// Position of a piece within its request.
 struct PieceIndex
 {
     std::uint32_t stage = 0;
     std::uint32_t piece = 0;
 };
 
-/// The pieces of one request. A stage with no pieces is left out: whatever comes
-/// after it does not wait for it.
+/// The dependency graph of the pieces of one request. Stages without pieces are skipped:
+/// later stages do not wait for them.
 class PieceGraph
 {
 public:
-    /// \param counts of pieces by stage; stages beyond its end have none.
+    /// \param counts number of pieces by stage; stages beyond its end have none.
     PieceGraph(const std::vector<PieceStageSpec> &stages, const std::vector<std::uint32_t> &counts);
 
-    /// The pieces that are to be made now and were not given out before.
+    /// Returns the pieces that are ready to be computed, and marks them as scheduled.
     ///
-    /// A stage that needs no inputs and whose results only the request itself reads is held
-    /// back as long as stages remain that wait for their inputs and take as long: its
-    /// results would take room at their endpoints until these are made.
-    /// \param times from the order of a stage until it is made, by stage; a stage without
-    ///        one takes no time.
+    /// A stage that has no inputs and whose results only the request itself reads is deferred
+    /// while other stages still wait for inputs and take at least as long: its results
+    /// would occupy buffer space at their endpoints until those stages complete.
+    /// \param times from ordering a stage until it completes, by stage; a stage without an
+    ///        entry takes no time.
     std::vector<PieceIndex> scheduleReady(const std::vector<Duration> &times = {});
-    /// A piece was made in \p dataCentre; false where it was made already.
-    bool markCompleted(PieceIndex place, const std::string &handle,
+    /// Marks a piece as completed in \p dataCentre; returns false if it already was.
+    bool markCompleted(PieceIndex index, const std::string &handle,
                        const std::string &dataCentre = {});
-    /// A piece that was given out is to be given out again.
-    void reschedule(PieceIndex place);
-    /// The results that \p stage needs are no longer kept: they are made again.
+    /// Makes a scheduled piece ready again.
+    void reschedule(PieceIndex index);
+    /// Recomputes the inputs of \p stage, which are no longer stored.
     void recomputeInputs(std::uint32_t stage);
-    /// The results that the request itself needs are no longer kept.
+    /// Recomputes the results that the request itself reads, which are no longer stored.
     void recomputeFinalResults();
 
-    /// Whether every piece is made.
+    /// Returns whether all pieces are completed.
     [[nodiscard]] bool isComplete() const;
-    /// The results that each piece of \p stage needs, in order.
+    /// Returns the results that each piece of \p stage reads, in order.
     [[nodiscard]] std::vector<std::string> inputsOf(std::uint32_t stage) const;
-    /// The results that the request itself needs: of stages that none comes after.
+    /// Returns the results that the request itself reads: those of the last stages.
     [[nodiscard]] std::vector<std::string> finalResults() const;
-    /// The data centre where most bytes stand that each piece of \p stage reads, and how
-    /// many; empty without any.
+    /// Returns the data centre that holds most of the bytes that each piece of \p stage
+    /// reads, and their number; an empty name and 0 if there are none.
     [[nodiscard]] std::pair<std::string, std::uint64_t>
     mainInputDataCentre(std::uint32_t stage) const;
-    /// The same of the results that the request itself needs, as far as they are made.
+    /// Same as mainInputDataCentre(), for the completed results that the request itself reads.
     [[nodiscard]] std::pair<std::string, std::uint64_t> mainResultDataCentre() const;
-    /// The results of which nobody has need any more and that were not told before.
+    /// Releases the results that no remaining stage reads; returns those not released before.
     std::vector<std::string> releaseUnneeded();
-    /// All results that are kept somewhere for this request; they are forgotten.
+    /// Releases and returns all results that endpoints still store for this request.
     std::vector<std::string> releaseAll();
-    /// Whether the results that the request itself needs were taken by releaseAll().
+    /// Returns whether releaseAll() released the results that the request itself reads.
     [[nodiscard]] bool finalResultsReleased() const;
-    /// The pool that makes the pieces of \p stage.
+    /// Returns the pool that computes the pieces of \p stage.
     [[nodiscard]] const std::string &poolOf(std::uint32_t stage) const;
 
 private:
-    enum class State { Waiting, GivenOut, Made };
+    enum class State { Waiting, Scheduled, Completed };
     struct Piece
     {
         State state = State::Waiting;
         std::string handle;
-        std::string dataCentre; ///< Where it was made.
+        std::string dataCentre; ///< Where it was computed.
     };
     struct Stage
     {
         PieceStageSpec spec;
         std::vector<Piece> pieces;
-        bool isFinal = true; ///< No stage with pieces comes after it.
+        bool isFinal = true; ///< No stage with pieces reads its results.
         bool released = false;
     };
 
     using BytesByDataCentre = std::map<std::string, std::uint64_t>;
 
-    static void addBytes(const Stage &stage, BytesByDataCentre &bytes);
-    static std::pair<std::string, std::uint64_t> most(const BytesByDataCentre &bytes);
-    [[nodiscard]] bool isMade(std::uint32_t stage) const;
+    static void addCompletedBytes(const Stage &stage, BytesByDataCentre &bytes);
+    static std::pair<std::string, std::uint64_t> largest(const BytesByDataCentre &bytes);
+    [[nodiscard]] bool isStageCompleted(std::uint32_t stage) const;
     [[nodiscard]] bool hasInputs(std::uint32_t stage) const;
-    [[nodiscard]] bool mayBeHeldBack(std::uint32_t stage) const;
-    [[nodiscard]] Duration longestWaitingChain(const std::vector<Duration> &times) const;
-    void remake(std::uint32_t stage);
+    [[nodiscard]] bool canBeDeferred(std::uint32_t stage) const;
+    [[nodiscard]] Duration longestPendingChain(const std::vector<Duration> &times) const;
+    void recompute(std::uint32_t stage);
 
     std::vector<Stage> m_stages;
 };
--- a/include/harelink/Kernel/piecerouter.h
+++ b/include/harelink/Kernel/piecerouter.h
@@ -1,16 +1,18 @@
-//===- harelink/Kernel/piecerouter.h - Where pieces are made ----*- C++ -*-===//
+//===- harelink/Kernel/piecerouter.h - Routing of pieces --------*- C++ -*-===//
 ///
 /// \file
-/// Orders the pieces of this daemon's requests at the batchers of their pools, and
-/// orders them again where nothing comes of it. Belongs to the control thread.
+/// Sends the pieces of this daemon's requests to the batchers of their pools, and
+/// resubmits them if no outcome arrives. Used on the control thread only.
 ///
-/// Options weighed for who forms the calls: each daemon alone (a daemon sees too few
-/// pieces to fill a call in time); one batcher an endpoint (daemons choose the endpoint
-/// by what they heard up to 250 ms ago, and a piece waits at a busy one while another
-/// is free: docs/DESIGN.md has the figures); one batcher a pool, by rendezvous hashing
-/// over the live able daemons, which gives a piece to whichever endpoint is free first. The
-/// last is what stands here; a large pool has one in each data centre. Its loss holds a
-/// pool up for batcherSilence.
+/// Alternatives considered for who forms the calls:
+/// - Each daemon on its own: one daemon has too few pieces to fill a call in time.
+/// - One batcher per endpoint: daemons choose the endpoint by information up to 250 ms
+///   old, and a piece waits at a busy endpoint while another one is free
+///   (docs/DESIGN.md has the figures).
+/// - One batcher per pool, selected by rendezvous hashing over the live and able daemons:
+///   each piece goes to the endpoint that is free first. This is implemented here; large
+///   pools have one batcher per data centre. The loss of a batcher delays its pool by
+///   batcherTimeout.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -31,88 +33,92 @@
 
 namespace harelink {
 
-/// Orders for the batcher \p host, which may be this daemon itself.
+/// Orders to send to the batcher `host`, which may be this daemon.
 struct OutgoingPieceOrders
 {
     std::string host;
     PieceOrders orders;
 };
 
-/// The router.
+/// Submits pieces to batchers, and tracks them until they complete.
 class PieceRouter
 {
 public:
-    /// \param clock and \p membership outlive the router.
+    /// \p clock and \p membership must outlive the router.
     PieceRouter(const Clock &clock, const Membership &membership, const RetryBudgetOptions &budget);
 
-    /// Orders pieces of one request at \p pool.
+    /// Orders pieces of one request from \p pool.
     void submit(const std::string &pool, const std::vector<PieceOrder> &orders,
                 const Snapshot &snapshot);
-    /// These results are no longer needed.
+    /// Frees results that are no longer needed.
     void free(const std::vector<std::string> &handles, const Snapshot &snapshot);
-    /// The pieces of \p request are no longer wanted.
+    /// Cancels the pieces of \p request.
     void withdraw(const RequestId &request);
-    /// Takes in what became of orders.
+    /// Handles the outcomes of orders.
     void handle(const PieceOutcomes &outcomes, const Snapshot &snapshot);
-    /// Takes in how busy a pool is.
+    /// Records the reported load of a pool.
     static void handle(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now);
-    /// Orders again what has waited too long.
+    /// Resubmits the pieces that are overdue or whose batcher is unreachable.
     void tick(const Snapshot &snapshot);
     [[nodiscard]] TimePoint nextTick() const;
 
-    /// What came up since the last call.
+    /// These return what has accumulated since they were last called.
     [[nodiscard]] std::vector<OutgoingPieceOrders> drainOrders()
     {
-        return std::exchange(m_sends, {});
+        return std::exchange(m_orders, {});
     }
-    [[nodiscard]] std::vector<PieceOutcome> drainOutcomes() { return std::exchange(m_done, {}); }
-    /// Withdrawals by host.
+    [[nodiscard]] std::vector<PieceOutcome> drainOutcomes()
+    {
+        return std::exchange(m_outcomes, {});
+    }
+    /// Withdrawals, by batcher.
     [[nodiscard]] std::map<std::string, PieceWithdrawal> drainWithdrawals()
     {
         return std::exchange(m_withdrawals, {});
     }
-    /// Results to be freed, by host.
+    /// Results to free, by batcher.
     [[nodiscard]] std::vector<std::pair<std::string, PieceFrees>> drainFrees()
     {
         return std::exchange(m_frees, {});
     }
-    /// How often a piece was ordered again.
-    [[nodiscard]] std::uint64_t resubmissions() const { return m_reorders; }
+    /// Total number of resubmitted pieces.
+    [[nodiscard]] std::uint64_t resubmissions() const { return m_resubmissions; }
 
 private:
+    /// A piece whose outcome is not known yet.
     struct Pending
     {
         std::string pool;
-        std::string part; ///< Where it is ordered: the pool, or its part.
+        std::string part; ///< Where it was ordered: the pool, or a part of it.
         PieceOrder order;
-        TimePoint wanted;
-        TimePoint due;
+        TimePoint objective;
+        TimePoint deadline;
         std::string batcher;
-        TimePoint orderedAt;
+        TimePoint sentAt;
         TimePoint checkAt;
         std::uint32_t attempts = 0;
     };
-    /// A result that some request of this daemon has.
+    /// A result that belongs to a request of this daemon.
     struct Result
     {
         std::string part; ///< As in Pending.
-        TimePoint madeAt;
+        TimePoint completedAt;
     };
 
     const std::string &batcherOf(const std::string &part, const Snapshot &snapshot);
     [[nodiscard]] std::string findBatcher(const std::string &part, const Snapshot &snapshot) const;
-    void place(std::vector<Pending> group, const Snapshot &snapshot);
-    [[nodiscard]] bool mayReorder(const Pending &pending, const Snapshot &snapshot);
-    void reorder(const PieceId &id, PieceFault fault, const Snapshot &snapshot);
-    void finish(const PieceId &id, PieceFault fault);
+    void dispatch(std::vector<Pending> group, const Snapshot &snapshot);
+    [[nodiscard]] bool mayResubmit(const Pending &pending, const Snapshot &snapshot);
+    void resubmit(const PieceId &id, PieceFault fault, const Snapshot &snapshot);
+    void reportFault(const PieceId &id, PieceFault fault);
     RetryBudget &budgetOf(const std::string &pool);
-    void forgetOldResults();
+    void dropOldResults();
 
-    /// The daemon that batches for a part, as of a moment and of the lists of hosts then.
+    /// The cached batcher of a part, with the version of the host lists it was selected from.
     struct Batcher
     {
         std::string host;
-        TimePoint foundAt;
+        TimePoint selectedAt;
         std::uint64_t listsVersion = 0;
     };
 
@@ -122,12 +128,12 @@
     std::map<std::string, RetryBudget> m_budgets; ///< By pool.
     std::map<PieceId, Pending> m_pending;
     std::map<std::string, Result> m_results; ///< By handle.
-    std::vector<OutgoingPieceOrders> m_sends;
-    std::vector<PieceOutcome> m_done;
+    std::vector<OutgoingPieceOrders> m_orders;
+    std::vector<PieceOutcome> m_outcomes;
     std::map<std::string, PieceWithdrawal> m_withdrawals;
     std::vector<std::pair<std::string, PieceFrees>> m_frees;
     TimePoint m_nextSweep = TimePoint::min();
-    std::uint64_t m_reorders = 0;
+    std::uint64_t m_resubmissions = 0;
     std::map<std::string, Batcher> m_batchers; ///< By part.
 };
 
--- a/include/harelink/Kernel/pieces.h
+++ b/include/harelink/Kernel/pieces.h
@@ -1,12 +1,12 @@
-//===- harelink/Kernel/pieces.h - Work in pieces ----------------*- C++ -*-===//
+//===- harelink/Kernel/pieces.h - Batched pieces of work --------*- C++ -*-===//
 ///
 /// \file
-/// The pieces of work that some requests need before they can be sent, and what
-/// daemons tell each other of them. An endpoint works on many pieces in one call,
-/// so the pieces for a pool meet at one daemon, its batcher, which forms the calls;
-/// the daemon that holds the request orders pieces there.
+/// The pieces of work that some requests need before they can be sent, and the
+/// messages that daemons exchange about them. An endpoint processes many pieces in
+/// one call, so all pieces of a pool go to one daemon, the pool's batcher, which
+/// forms the calls; the daemon that holds the request sends its orders there.
 ///
-/// A piece may be made again, so every message may be lost, late or doubled.
+/// Computing a piece is idempotent, so messages may be lost, delayed or duplicated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
 
 namespace harelink {
 
-/// One piece of one request.
+/// Identifies one piece of one request.
 struct PieceId
 {
     RequestId request;
@@ -33,108 +33,109 @@
     auto operator<=>(const PieceId &) const = default;
 };
 
-/// What is to be made.
+/// An order to compute a piece.
 struct PieceOrder
 {
     PieceId id;
-    std::string callerId;            ///< The caller's name for the request.
-    Hash128 digest;                  ///< Of the request, as digestOf() gives it.
-    std::string key;                 ///< What it is made from, where there are no inputs.
-    std::vector<std::string> inputs; ///< Results of earlier pieces.
+    std::string callerId;            ///< The request ID that the caller chose.
+    Hash128 digest;                  ///< Of the request, from digestOf().
+    std::string key;                 ///< The source of the piece if it has no inputs.
+    std::vector<std::string> inputs; ///< Handles of the results of earlier pieces.
     int priority = 0;                ///< 0 is the most urgent.
-    Duration untilObjective{};       ///< Until the request's objective, as of the sending.
-    Duration untilDeadline{};        ///< Until it is of no use any more, as of the sending.
-    std::uint64_t resultBytes = 0;   ///< About how large its result is.
-    std::string dataCentre;          ///< Where the result will be needed; empty for anywhere.
-    std::uint64_t inputBytes = 0;    ///< About how much it reads of earlier results.
-    std::string inputsDataCentre;    ///< The data centre where most of that stands.
-    std::string avoid;               ///< An endpoint that failed it.
+    Duration untilObjective{};       ///< Time left to the request's objective when sent.
+    Duration untilDeadline{};        ///< Time left until the result is useless, when sent.
+    std::uint64_t resultBytes = 0;   ///< Estimated size of the result.
+    std::string dataCentre;          ///< Where the result is needed; empty for anywhere.
+    std::uint64_t inputBytes = 0;    ///< Estimated bytes read from earlier results.
+    std::string inputsDataCentre;    ///< The data centre that holds most input bytes.
+    std::string avoid;               ///< An endpoint that failed this piece.
 };
 
-/// What moves for pieces of one stage of one request. Each of them reads all its inputs:
-/// sixteen pieces that read half a megabyte each move eight.
+/// The bytes transferred for the pieces of one stage of one request. Each piece reads all
+/// of its inputs: 16 pieces that read 0.5 MB each transfer 8 MB.
 struct PieceTransfers
 {
-    std::uint64_t inputBytes = 0;  ///< Read by all of them.
-    std::string inputsDataCentre;  ///< The data centre of these; empty for none.
-    std::uint64_t resultBytes = 0; ///< Made by all of them.
-    std::string resultsDataCentre; ///< The data centre that needs these; empty for any.
+    std::uint64_t inputBytes = 0;  ///< Total read by all pieces.
+    std::string inputsDataCentre;  ///< Where the inputs are; empty if there are none.
+    std::uint64_t resultBytes = 0; ///< Total size of all results.
+    std::string resultsDataCentre; ///< Where the results are needed; empty for anywhere.
 };
 
-/// The flows of \p count pieces like \p order.
+/// Returns the transfers of \p count pieces like \p order.
 [[nodiscard]] PieceTransfers transfersOf(const PieceOrder &order, std::size_t count);
-/// What the crossings count as, in time, if the pieces are made in \p dataCentre.
+/// Returns the cost, expressed as time, of the transfers between data centres if the
+/// pieces are computed in \p dataCentre.
 [[nodiscard]] Duration transferCost(const PieceTransfers &transfers, const std::string &dataCentre);
 
-/// Why a piece was not made.
+/// Why a piece was not computed.
 enum class PieceFault {
     None,
-    Late,      ///< Its time was over before its turn.
-    InputGone, ///< A result that it needs is no longer kept.
-    NoRoom,    ///< The endpoint has no room for its result.
-    Refused,   ///< The endpoint did not take the call, or gets no new work.
-    Failed,    ///< The call failed, or the endpoint could not make it.
+    Late,      ///< Its deadline passed before it was sent.
+    InputGone, ///< An input result is no longer stored.
+    NoRoom,    ///< The endpoint has no buffer space for its result.
+    Refused,   ///< The endpoint refused the call, or accepts no new work.
+    Failed,    ///< The call failed, or the endpoint could not compute the piece.
 };
-/// How many faults there are.
+/// The number of PieceFault values.
 inline constexpr std::size_t pieceFaultCount = static_cast<std::size_t>(PieceFault::Failed) + 1;
 
-/// A short name, as in "input-gone".
+/// Returns a short name such as "input-gone".
 [[nodiscard]] std::string_view toText(PieceFault fault);
 
-/// What became of a piece.
+/// The result of an order.
 struct PieceOutcome
 {
     PieceId id;
     std::string endpoint;
-    std::string handle; ///< Names the result; empty with a fault.
+    std::string handle; ///< Handle of the result; empty on a fault.
     PieceFault fault = PieceFault::None;
 };
 
-/// Pieces wait in classes: those of priority 0, 1 and 2, and all that are less urgent.
+/// Waiting pieces are counted in classes: priorities 0, 1 and 2, and all lower priorities.
 inline constexpr std::size_t priorityClassCount = 4;
-/// The class of \p priority.
+/// Returns the class of \p priority.
 [[nodiscard]] constexpr std::size_t priorityClass(int priority)
 {
     const auto last = static_cast<int>(priorityClassCount) - 1;
     return static_cast<std::size_t>(priority < 0 ? 0 : (priority > last ? last : priority));
 }
 
-/// How busy the endpoints of a pool are, as its batcher sees it.
+/// The load of a pool, as its batcher sees it.
 struct PieceBacklog
 {
     std::string pool;
-    Duration freeIn{};           ///< Until the first endpoint can take a call.
-    std::uint32_t endpoints = 0; ///< That take calls.
-    /// Pieces that are in no call yet, by class.
+    Duration freeIn{};           ///< Time until the first endpoint accepts a call.
+    std::uint32_t endpoints = 0; ///< Number of endpoints that accept calls.
+    /// Pieces that are not part of a call yet, by class.
     std::array<std::uint32_t, priorityClassCount> waiting{};
-    double slowness = 1;   ///< The time of calls against the declared one.
-    double correction = 1; ///< The time until pieces were made against its forecast.
+    double slowness = 1;   ///< Ratio of measured to declared call time, median of the endpoints.
+    double correction = 1; ///< Ratio of measured to predicted completion time.
 };
 
-/// Message: make these at \p pool, or at that part of a divided one. From the daemon of the
-/// requests to the batcher.
+/// Message: compute these pieces in \p pool, which may be a part of a divided pool. Sent
+/// by the daemon of the requests to the batcher.
 struct PieceOrders
 {
     std::string pool;
     std::vector<PieceOrder> orders;
 };
 
-/// Message: what became of orders. From the batcher to the daemon of the requests.
+/// Message: results of orders. Sent by the batcher to the daemon of the requests.
 struct PieceOutcomes
 {
     std::vector<PieceOutcome> outcomes;
-    PieceBacklog backlog; ///< Of their pool.
+    PieceBacklog backlog; ///< Of the pool of the pieces.
 };
 
-/// Message: these results of \p pool are no longer needed. To its batcher, which has
-/// them freed and so knows how much room its endpoints have.
+/// Message: these results of \p pool are no longer needed. Sent to the pool's batcher, which
+/// frees them and thereby tracks the buffer space of the endpoints.
 struct PieceFrees
 {
     std::string pool;
     std::vector<std::string> handles;
 };
 
-/// Message: the pieces of these requests are no longer wanted.
+/// Message: cancels the pieces of these requests.
 struct PieceWithdrawal
 {
     std::vector<RequestId> requests;
--- a/include/harelink/Kernel/resultbufferusage.h
+++ b/include/harelink/Kernel/resultbufferusage.h
@@ -1,9 +1,8 @@
 //===- harelink/Kernel/resultbufferusage.h - Buffer usage -------*- C++ -*-===//
 ///
 /// \file
-/// Keeps account of the room that results take at the endpoints of a pool, as its batcher
-/// sees it: from the end of their call until they are freed, or until their endpoint drops
-/// them by itself.
+/// Tracks the buffer space that results occupy at the endpoints of a pool, as seen by its
+/// batcher: from the end of their call until they are freed or expire at their endpoint.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,39 +18,39 @@
 
 namespace harelink {
 
-/// A result that takes room.
+/// A result that an endpoint stores.
 struct BufferedResult
 {
     std::string endpoint;
     std::uint64_t bytes = 0;
-    TimePoint until;  ///< When its endpoint drops it by itself.
+    TimePoint until;  ///< When it expires at its endpoint.
     std::string host; ///< The daemon that ordered it.
 };
 
-/// The account.
+/// The buffer usage of all endpoints of one pool.
 class ResultBufferUsage
 {
 public:
-    /// The result called \p handle takes room from now on.
-    void keep(const std::string &handle, BufferedResult result);
-    /// It takes none any more; nothing happens for one that is not known.
-    void drop(const std::string &handle);
-    /// Drops what was ordered by \p host; the handles of it.
-    std::vector<std::string> dropOf(const std::string &host);
-    /// Drops what was kept at \p endpoint, which is no more.
-    void dropAt(const std::string &endpoint);
-    /// Drops what endpoints have dropped by themselves.
+    /// Adds the result \p handle; replaces an earlier entry of that handle.
+    void add(const std::string &handle, BufferedResult result);
+    /// Removes the result \p handle; does nothing if it is unknown.
+    void remove(const std::string &handle);
+    /// Removes all results that \p host ordered, and returns their handles.
+    std::vector<std::string> removeOrderedBy(const std::string &host);
+    /// Removes all entries of \p endpoint, which no longer exists.
+    void removeEndpoint(const std::string &endpoint);
+    /// Removes the results that have expired at their endpoints.
     void expire(TimePoint now);
 
-    /// \p endpoint had no room although some should have been left: it is taken to be full
-    /// until \p until.
+    /// Treats \p endpoint as full until \p until, since it reported no space although this
+    /// account had some left.
     void recordBufferFull(const std::string &endpoint, TimePoint until)
     {
         m_fullUntil[endpoint] = until;
     }
-    /// Whether that holds.
+    /// Returns whether recordBufferFull() is in effect for \p endpoint.
     [[nodiscard]] bool isFull(const std::string &endpoint, TimePoint now) const;
-    /// What results take at \p endpoint.
+    /// Returns the bytes that results occupy at \p endpoint.
     [[nodiscard]] std::uint64_t bytesAt(const std::string &endpoint) const;
 
 private:
@@ -59,8 +58,8 @@
 
     Results::iterator erase(Results::iterator result);
 
-    /// No result ends before: most are freed long before, and not all have to be looked at
-    /// each time that one may have ended.
+    /// Lower bound of all expiry times. Most results are freed long before they expire, so
+    /// expire() rarely has to scan them all.
     TimePoint m_earliestEnd = TimePoint::max();
     Results m_results;
     std::map<std::string, std::uint64_t> m_bytes; ///< By endpoint.
--- a/lib/Kernel/piecebatcher.cpp
+++ b/lib/Kernel/piecebatcher.cpp
@@ -1,4 +1,4 @@
-//===- piecebatcher.cpp - Calls of many pieces ----------------------------===//
+//===- piecebatcher.cpp - Batching of pieces ------------------------------===//
 
 #include "harelink/Kernel/piecebatcher.h"
 
@@ -13,43 +13,43 @@
 
 using std::chrono::milliseconds;
 
-/// After a refusal the endpoint is left alone for this long, twice as long each time: it
-/// may be busy with calls of a batcher that is gone. At a constant 40 ms, 55 endpoints
+/// The backoff after a refused call, doubled for each consecutive refusal: the endpoint may
+/// still process calls of a previous batcher. With a constant backoff of 40 ms, 55 endpoints
 /// refused 4,437 calls in the 3 s after all daemons had ended.
-constexpr milliseconds refusalPause{40};
-constexpr milliseconds longestRefusalPause{320};
-/// An endpoint that cannot be reached is left alone for this long, twice as long each time.
-constexpr milliseconds unreachablePause{250};
-constexpr milliseconds longestUnreachablePause{4000};
-/// After an endpoint had no room although there should be some, its room is taken to be
-/// full for this long: another daemon that batched for it before may have used it.
-constexpr milliseconds noRoomPause{150};
-/// Refusals after which a piece goes back to its daemon.
-constexpr std::uint32_t mostRefusals = 4;
-/// The learnt slowness moves by this part of a difference.
-constexpr double smoothing = 0.4;
-/// The correction of forecasts moves by this part of a piece's difference: at 70 pieces a
-/// second, most of the way in 0.7 s.
+constexpr milliseconds refusalBackoff{40};
+constexpr milliseconds maxRefusalBackoff{320};
+/// The backoff after a failed connection attempt, doubled for each consecutive failure.
+constexpr milliseconds unreachableBackoff{250};
+constexpr milliseconds maxUnreachableBackoff{4000};
+/// An endpoint that reports no buffer space although some should be left is treated as full for
+/// this period: a previous batcher of its pool may have used the space.
+constexpr milliseconds bufferFullPeriod{150};
+/// Refusals after which a piece is reported to its daemon as refused.
+constexpr std::uint32_t maxRefusals = 4;
+/// Weight of a new sample in the moving average of an endpoint's slowness.
+constexpr double slownessSmoothing = 0.4;
+/// Weight of one piece in the moving average of the forecast correction: at 70 pieces per
+/// second, the average covers most of a change within 0.7 s.
 constexpr double correctionSmoothing = 0.02;
-constexpr double leastCorrection = 0.7;
-constexpr double mostCorrection = 4;
-constexpr double leastSlowness = 0.5;
-constexpr double mostSlowness = 20;
-/// A call that failed counts as one that took so many times its time.
+constexpr double minCorrection = 0.7;
+constexpr double maxCorrection = 4;
+constexpr double minSlowness = 0.5;
+constexpr double maxSlowness = 20;
+/// A failed call counts as one that took this multiple of its declared time.
 constexpr double failureSlowness = 4;
-/// Results are freed together: a call for some is no dearer than one for one.
+/// Results are freed in batches, since one call for several costs no more than for one.
 constexpr milliseconds freeInterval{30};
-/// A pool that has become idle is told of for so long: daemons that heard it busy before
-/// would go on to take it for busy. Eight heartbeats, one of which gets through.
-constexpr milliseconds idleTelling{2000};
+/// The backlog of a pool that has become idle is reported for this period, so that daemons which
+/// received a busy backlog learn of the change. Covers eight heartbeats, in case some are lost.
+constexpr milliseconds idleReportPeriod{2000};
 
-/// \p time doubled \p times times, up to \p longest.
-milliseconds doubled(milliseconds time, std::uint32_t times, milliseconds longest)
+/// Returns \p time doubled \p times times, at most \p maxTime.
+milliseconds backoff(milliseconds time, std::uint32_t times, milliseconds maxTime)
 {
-    for (std::uint32_t i = 0; i < times && time < longest; ++i) {
+    for (std::uint32_t i = 0; i < times && time < maxTime; ++i) {
         time *= 2;
     }
-    return std::min(time, longest);
+    return std::min(time, maxTime);
 }
 
 } // namespace
@@ -64,55 +64,55 @@
 {
     const TimePoint now = m_clock.now();
     if (!orders.orders.empty()) {
-        noteIncarnation(host, orders.orders.front().id.request.incarnation);
+        updateIncarnation(host, orders.orders.front().id.request.incarnation);
     }
-    Line &line = m_lines[orders.pool];
-    line.lastBusy = now;
+    PoolQueue &queue = m_queues[orders.pool];
+    queue.lastActive = now;
     Duration predicted{};
     if (const PoolEntry *pool = snapshot.poolOrPartition(orders.pool);
         pool != nullptr && !orders.orders.empty()) {
-        recordBacklog(*pool, backlogOf(orders.pool, line, snapshot), now);
+        recordBacklog(*pool, backlogOf(orders.pool, queue, snapshot), now);
         predicted = predictCompletion(*pool, static_cast<std::uint32_t>(orders.orders.size()),
                                       orders.orders.front().priority, now);
     }
     for (const PieceOrder &order : orders.orders) {
-        Item item;
-        item.takenAt = now;
+        QueuedPiece item;
+        item.receivedAt = now;
         item.predicted = predicted;
         item.host = host;
         item.order = order;
-        item.wanted = now + order.untilObjective;
-        item.due = now + order.untilDeadline;
-        line.waiting.push_back(std::move(item));
+        item.objective = now + order.untilObjective;
+        item.deadline = now + order.untilDeadline;
+        queue.waiting.push_back(std::move(item));
     }
-    pump(orders.pool, line, snapshot);
+    formCalls(orders.pool, queue, snapshot);
 }
 
 void PieceBatcher::withdraw(const std::string &host, const PieceWithdrawal &withdrawal)
 {
-    const auto isWithdrawn = [&](const Item &item) {
+    const auto isWithdrawn = [&](const QueuedPiece &item) {
         return item.host == host
                && std::find(withdrawal.requests.begin(), withdrawal.requests.end(),
                             item.order.id.request)
                       != withdrawal.requests.end();
     };
-    for (auto &[pool, line] : m_lines) {
-        std::erase_if(line.waiting, isWithdrawn);
+    for (auto &[pool, queue] : m_queues) {
+        std::erase_if(queue.waiting, isWithdrawn);
     }
 }
 
-bool PieceBatcher::isWanted(const Item &item) const
+bool PieceBatcher::isFromCurrentIncarnation(const QueuedPiece &item) const
 {
     const auto known = m_incarnations.find(item.host);
     return known != m_incarnations.end() && known->second == item.order.id.request.incarnation;
 }
 
-/// A daemon that orders as another incarnation has forgotten what it ordered before.
-void PieceBatcher::noteIncarnation(const std::string &host, Incarnation incarnation)
+/// Drops the earlier orders of \p host if it has restarted, since they are lost to it.
+void PieceBatcher::updateIncarnation(const std::string &host, Incarnation incarnation)
 {
     const auto [known, isNew] = m_incarnations.try_emplace(host, incarnation);
     if (!isNew && known->second != incarnation) {
-        drop(host);
+        dropOrdersOf(host);
         known->second = incarnation;
     }
 }
@@ -122,44 +122,46 @@
     if (m_incarnations.erase(host) == 0) {
         return;
     }
-    drop(host);
-    for (auto &[pool, line] : m_lines) {
-        pump(pool, line, snapshot);
+    dropOrdersOf(host);
+    for (auto &[pool, queue] : m_queues) {
+        formCalls(pool, queue, snapshot);
     }
 }
 
-/// Drops what \p host ordered, and frees the results that were made for it.
-void PieceBatcher::drop(const std::string &host)
+/// Drops the orders of \p host, and frees the results that were computed for it.
+void PieceBatcher::dropOrdersOf(const std::string &host)
 {
-    for (auto &[pool, line] : m_lines) {
-        std::erase_if(line.waiting, [&host](const Item &item) { return item.host == host; });
-        freeSoon(line.room.dropOf(host));
+    for (auto &[pool, queue] : m_queues) {
+        std::erase_if(queue.waiting,
+                      [&host](const QueuedPiece &item) { return item.host == host; });
+        queueFrees(queue.bufferUsage.removeOrderedBy(host));
     }
 }
 
-// Ends of calls ---------------------------------------------------------------
+// End of calls ----------------------------------------------------------------
 
-void PieceBatcher::settle(const std::string &pool, const Item &item, const std::string &endpoint,
-                          const std::string &handle, PieceFault fault)
+void PieceBatcher::addOutcome(const std::string &pool, const QueuedPiece &item,
+                              const std::string &endpoint, const std::string &handle,
+                              PieceFault fault)
 {
     m_outcomes[{item.host, pool}].push_back({item.order.id, endpoint, handle, fault});
 }
 
 void PieceBatcher::handle(const PieceCallEnded &event, const Snapshot &snapshot)
 {
-    for (auto &[pool, line] : m_lines) {
-        for (auto &[endpoint, maker] : line.makers) {
-            const auto flight = std::find_if(
-                maker.flights.begin(), maker.flights.end(),
-                [&event](const Flight &candidate) { return candidate.id == event.id; });
-            if (flight == maker.flights.end()) {
+    for (auto &[pool, queue] : m_queues) {
+        for (auto &[endpoint, state] : queue.endpointStates) {
+            const auto activeCall = std::find_if(
+                state.activeCalls.begin(), state.activeCalls.end(),
+                [&event](const ActiveCall &candidate) { return candidate.id == event.id; });
+            if (activeCall == state.activeCalls.end()) {
                 continue;
             }
-            line.lastBusy = m_clock.now();
-            Flight ended = std::move(*flight);
-            maker.flights.erase(flight);
-            end(pool, line, endpoint, std::move(ended), event, snapshot);
-            pump(pool, line, snapshot);
+            queue.lastActive = m_clock.now();
+            ActiveCall ended = std::move(*activeCall);
+            state.activeCalls.erase(activeCall);
+            finishCall(pool, queue, endpoint, std::move(ended), event, snapshot);
+            formCalls(pool, queue, snapshot);
             return;
         }
     }
@@ -168,15 +170,15 @@
 void PieceBatcher::endpointEnded(const std::string &endpoint, const Snapshot &snapshot)
 {
     std::vector<PieceCallEnded> failures;
-    for (auto &[pool, line] : m_lines) {
-        line.room.dropAt(endpoint);
-        const auto maker = line.makers.find(endpoint);
-        if (maker == line.makers.end()) {
+    for (auto &[pool, queue] : m_queues) {
+        queue.bufferUsage.removeEndpoint(endpoint);
+        const auto state = queue.endpointStates.find(endpoint);
+        if (state == queue.endpointStates.end()) {
             continue;
         }
-        for (const Flight &flight : maker->second.flights) {
+        for (const ActiveCall &activeCall : state->second.activeCalls) {
             PieceCallEnded failed;
-            failed.id = flight.id;
+            failed.id = activeCall.id;
             failed.status = makeError(absl::StatusCode::kUnavailable, "pieces", endpoint,
                                       "the endpoint has started again");
             failures.push_back(std::move(failed));
@@ -187,83 +189,86 @@
     }
 }
 
-void PieceBatcher::end(const std::string &pool, Line &line, const std::string &endpoint,
-                       Flight flight, const PieceCallEnded &event, const Snapshot &snapshot)
+void PieceBatcher::finishCall(const std::string &pool, PoolQueue &queue,
+                              const std::string &endpoint, ActiveCall activeCall,
+                              const PieceCallEnded &event, const Snapshot &snapshot)
 {
     if (const PoolEntry *entry = snapshot.poolOrPartition(pool)) {
-        learn(endpoint, line, flight, event, *entry);
+        recordCallEnd(endpoint, queue, activeCall, event, *entry);
         if (entry->spec.pieces) {
-            keep(line, endpoint, flight, event, m_clock.now(), entry->spec.pieces->resultLife);
+            addResults(queue, endpoint, activeCall, event, m_clock.now(),
+                       entry->spec.pieces->resultLife);
         }
     }
     const bool refused =
         event.evidence == SendEvidence::RefusedBeforeRun && !event.isEndpointReplaced;
-    // Nothing was begun, so it costs nothing to send it to another endpoint from here.
+    // No work was started, so sending the pieces to another endpoint from here is free.
     const bool untouched =
         !event.answered && (refused || event.evidence == SendEvidence::NothingSent);
-    for (std::size_t i = 0; i < flight.items.size(); ++i) {
-        Item &item = flight.items[i];
+    for (std::size_t i = 0; i < activeCall.items.size(); ++i) {
+        QueuedPiece &item = activeCall.items[i];
         const PieceFault fault = event.answered ? event.results[i].fault : PieceFault::Failed;
-        if ((untouched || fault == PieceFault::NoRoom) && ++item.refusals < mostRefusals) {
-            line.waiting.push_back(std::move(item));
+        if ((untouched || fault == PieceFault::NoRoom) && ++item.refusals < maxRefusals) {
+            queue.waiting.push_back(std::move(item));
             continue;
         }
         if (fault == PieceFault::None && event.answered) {
-            learnWait(line, item);
+            updateCorrection(queue, item);
         }
         const std::string handle = event.answered ? event.results[i].handle : std::string();
-        settle(pool, item, endpoint, handle, refused ? PieceFault::Refused : fault);
+        addOutcome(pool, item, endpoint, handle, refused ? PieceFault::Refused : fault);
     }
     if (event.isEndpointReplaced) {
-        m_replaced.push_back(endpoint);
+        m_replacedEndpoints.push_back(endpoint);
     }
 }
 
-/// Learns how far forecasts are off: of room that is short, and of whoever goes first,
-/// they know nothing.
-void PieceBatcher::learnWait(Line &line, const Item &item) const
+/// Updates the correction of forecasts, which do not account for lack of buffer space and for
+/// pieces that overtake.
+void PieceBatcher::updateCorrection(PoolQueue &queue, const QueuedPiece &item) const
 {
     if (item.predicted <= Duration::zero()) {
         return;
     }
-    const double ratio = std::chrono::duration<double>(m_clock.now() - item.takenAt)
+    const double ratio = std::chrono::duration<double>(m_clock.now() - item.receivedAt)
                          / std::chrono::duration<double>(item.predicted);
-    line.correction += (line.correction * ratio - line.correction) * correctionSmoothing;
-    line.correction = std::clamp(line.correction, leastCorrection, mostCorrection);
+    queue.correction += (queue.correction * ratio - queue.correction) * correctionSmoothing;
+    queue.correction = std::clamp(queue.correction, minCorrection, maxCorrection);
 }
 
-/// Learns how slow the endpoint is, and of its health.
-void PieceBatcher::learn(const std::string &endpoint, Line &line, const Flight &flight,
-                         const PieceCallEnded &event, const PoolEntry &pool)
+/// Updates slowness, backoff, load and health of \p endpoint.
+void PieceBatcher::recordCallEnd(const std::string &endpoint, PoolQueue &queue,
+                                 const ActiveCall &activeCall, const PieceCallEnded &event,
+                                 const PoolEntry &pool)
 {
     const TimePoint now = m_clock.now();
-    Maker &maker = line.makers.at(endpoint);
-    // A call that waited behind another began when that one ended.
-    const TimePoint begin = flight.expectedEnd - scaled(flight.declared, maker.slowness);
-    const Duration taken = now - std::max(flight.sentAt, std::min(begin, now));
-    double sample =
-        flight.declared > Duration::zero()
-            ? std::chrono::duration<double>(taken) / std::chrono::duration<double>(flight.declared)
-            : 1;
+    EndpointState &state = queue.endpointStates.at(endpoint);
+    // A call that waited behind another one started when that one ended.
+    const TimePoint begin = activeCall.expectedEnd - scaled(activeCall.declared, state.slowness);
+    const Duration taken = now - std::max(activeCall.sentAt, std::min(begin, now));
+    double sample = activeCall.declared > Duration::zero()
+                        ? std::chrono::duration<double>(taken)
+                              / std::chrono::duration<double>(activeCall.declared)
+                        : 1;
     const bool failed = !event.answered && event.evidence != SendEvidence::RefusedBeforeRun;
     if (failed) {
         sample = std::max(sample, failureSlowness);
     }
     if (event.answered || failed) {
-        maker.slowness += (sample - maker.slowness) * smoothing;
-        maker.slowness = std::clamp(maker.slowness, leastSlowness, mostSlowness);
+        state.slowness += (sample - state.slowness) * slownessSmoothing;
+        state.slowness = std::clamp(state.slowness, minSlowness, maxSlowness);
     } else {
-        maker.blockedUntil = now + doubled(refusalPause, maker.refusals++, longestRefusalPause);
+        state.blockedUntil = now + backoff(refusalBackoff, state.refusals++, maxRefusalBackoff);
     }
-    maker.refusals = event.answered ? 0 : maker.refusals;
+    state.refusals = event.answered ? 0 : state.refusals;
     const bool unreachable = !event.answered && event.evidence == SendEvidence::NothingSent;
     if (unreachable) {
-        maker.blockedUntil =
-            now + doubled(unreachablePause, maker.unreachable, longestUnreachablePause);
+        state.blockedUntil =
+            now + backoff(unreachableBackoff, state.unreachable, maxUnreachableBackoff);
     }
-    maker.unreachable = unreachable ? maker.unreachable + 1 : 0;
-    for (Flight &next : maker.flights) {
-        next.expectedEnd = now + scaled(next.declared, maker.slowness);
+    state.unreachable = unreachable ? state.unreachable + 1 : 0;
+    for (ActiveCall &next : state.activeCalls) {
+        next.expectedEnd = now + scaled(next.declared, state.slowness);
     }
     const EndpointEntry *entry = pool.find(endpoint);
     if (entry == nullptr) {
@@ -277,93 +282,94 @@
     }
 }
 
-// Room ------------------------------------------------------------------------
+// Buffer space ----------------------------------------------------------------
 
-/// Books the results of a call as kept at their endpoint.
-void PieceBatcher::keep(Line &line, const std::string &endpoint, const Flight &flight,
-                        const PieceCallEnded &event, TimePoint now, Duration life)
+/// Accounts the results of a call to the buffer of their endpoint.
+void PieceBatcher::addResults(PoolQueue &queue, const std::string &endpoint,
+                              const ActiveCall &activeCall, const PieceCallEnded &event,
+                              TimePoint now, Duration lifetime)
 {
-    for (std::size_t i = 0; i < flight.items.size() && i < event.results.size(); ++i) {
+    for (std::size_t i = 0; i < activeCall.items.size() && i < event.results.size(); ++i) {
         if (event.results[i].fault == PieceFault::NoRoom) {
-            line.room.recordBufferFull(endpoint, now + noRoomPause);
+            queue.bufferUsage.recordBufferFull(endpoint, now + bufferFullPeriod);
         }
         if (event.results[i].fault != PieceFault::None) {
             continue;
         }
-        const Item &item = flight.items[i];
-        if (!isWanted(item)) {
-            freeSoon({event.results[i].handle});
+        const QueuedPiece &item = activeCall.items[i];
+        if (!isFromCurrentIncarnation(item)) {
+            queueFrees({event.results[i].handle});
             continue;
         }
-        line.room.keep(event.results[i].handle,
-                       {endpoint, item.order.resultBytes, now + life, item.host});
+        queue.bufferUsage.add(event.results[i].handle,
+                              {endpoint, item.order.resultBytes, now + lifetime, item.host});
     }
 }
 
 void PieceBatcher::handle(const PieceFrees &frees, const Snapshot &snapshot)
 {
-    freeSoon(frees.handles);
-    const auto found = m_lines.find(frees.pool);
-    if (found == m_lines.end()) {
+    queueFrees(frees.handles);
+    const auto found = m_queues.find(frees.pool);
+    if (found == m_queues.end()) {
         return;
     }
     for (const std::string &handle : frees.handles) {
-        found->second.room.drop(handle);
+        found->second.bufferUsage.remove(handle);
     }
-    pump(frees.pool, found->second, snapshot);
+    formCalls(frees.pool, found->second, snapshot);
 }
 
-void PieceBatcher::freeSoon(const std::vector<std::string> &handles)
+void PieceBatcher::queueFrees(const std::vector<std::string> &handles)
 {
     if (handles.empty()) {
         return;
     }
-    m_freed.insert(m_freed.end(), handles.begin(), handles.end());
-    if (m_freeAt == TimePoint::max()) {
-        m_freeAt = m_clock.now() + freeInterval;
+    m_pendingFrees.insert(m_pendingFrees.end(), handles.begin(), handles.end());
+    if (m_flushFreesAt == TimePoint::max()) {
+        m_flushFreesAt = m_clock.now() + freeInterval;
     }
 }
 
 std::vector<std::string> PieceBatcher::drainFreedResults()
 {
-    if (m_clock.now() < m_freeAt) {
+    if (m_clock.now() < m_flushFreesAt) {
         return {};
     }
-    m_freeAt = TimePoint::max();
-    return std::exchange(m_freed, {});
+    m_flushFreesAt = TimePoint::max();
+    return std::exchange(m_pendingFrees, {});
 }
 
-// Time and tellings -----------------------------------------------------------
+// Timers and reports ----------------------------------------------------------
 
 void PieceBatcher::tick(const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    for (auto &[pool, line] : m_lines) {
-        if (line.nextLook <= now) {
-            pump(pool, line, snapshot);
+    for (auto &[pool, queue] : m_queues) {
+        if (queue.nextScan <= now) {
+            formCalls(pool, queue, snapshot);
         }
-        std::erase_if(line.makers, [&snapshot](const auto &entry) {
-            return entry.second.flights.empty() && snapshot.endpoint(entry.first) == nullptr;
+        std::erase_if(queue.endpointStates, [&snapshot](const auto &entry) {
+            return entry.second.activeCalls.empty() && snapshot.endpoint(entry.first) == nullptr;
         });
     }
 }
 
 TimePoint PieceBatcher::nextTick() const
 {
-    TimePoint next = m_freeAt;
-    for (const auto &[pool, line] : m_lines) {
-        next = std::min(next, line.nextLook);
+    TimePoint next = m_flushFreesAt;
+    for (const auto &[pool, queue] : m_queues) {
+        next = std::min(next, queue.nextScan);
     }
     return next;
 }
 
-PieceBacklog PieceBatcher::backlogOf(const std::string &pool, const Line &line,
+PieceBacklog PieceBatcher::backlogOf(const std::string &pool, const PoolQueue &queue,
                                      const Snapshot &snapshot) const
 {
     const TimePoint now = m_clock.now();
     PieceBacklog backlog;
     backlog.pool = pool;
-    for (const Item &item : line.waiting) {
+    for (const QueuedPiece &item : queue.waiting) {
         ++backlog.waiting[priorityClass(item.order.priority)];
     }
     const PoolEntry *entry = snapshot.poolOrPartition(pool);
@@ -376,9 +382,9 @@
         if (!isUsable(endpoint, now)) {
             continue;
         }
-        const auto maker = line.makers.find(endpoint.spec.name);
-        slowness.push_back(maker == line.makers.end() ? 1 : maker->second.slowness);
-        first = std::min(first, freeAt(line, endpoint, now));
+        const auto state = queue.endpointStates.find(endpoint.spec.name);
+        slowness.push_back(state == queue.endpointStates.end() ? 1 : state->second.slowness);
+        first = std::min(first, nextCallAt(queue, endpoint, now));
     }
     if (slowness.empty()) {
         return backlog;
@@ -386,31 +392,31 @@
     const auto middle = slowness.begin() + static_cast<std::ptrdiff_t>(slowness.size() / 2);
     std::nth_element(slowness.begin(), middle, slowness.end());
     backlog.slowness = *middle;
-    backlog.correction = line.correction;
+    backlog.correction = queue.correction;
     backlog.endpoints = static_cast<std::uint32_t>(slowness.size());
     backlog.freeIn = first - now;
     return backlog;
 }
 
-bool PieceBatcher::isBusy(const Line &line)
+bool PieceBatcher::isBusy(const PoolQueue &queue)
 {
-    return !line.waiting.empty()
-           || std::any_of(line.makers.begin(), line.makers.end(),
-                          [](const auto &entry) { return !entry.second.flights.empty(); });
+    return !queue.waiting.empty()
+           || std::any_of(queue.endpointStates.begin(), queue.endpointStates.end(),
+                          [](const auto &entry) { return !entry.second.activeCalls.empty(); });
 }
 
 bool PieceBatcher::idle() const
 {
-    return std::none_of(m_lines.begin(), m_lines.end(),
+    return std::none_of(m_queues.begin(), m_queues.end(),
                         [](const auto &entry) { return isBusy(entry.second); });
 }
 
 std::vector<PieceBacklog> PieceBatcher::backlogs(const Snapshot &snapshot) const
 {
     std::vector<PieceBacklog> backlogs;
-    for (const auto &[pool, line] : m_lines) {
-        if (isBusy(line) || m_clock.now() - line.lastBusy <= idleTelling) {
-            backlogs.push_back(backlogOf(pool, line, snapshot));
+    for (const auto &[pool, queue] : m_queues) {
+        if (isBusy(queue) || m_clock.now() - queue.lastActive <= idleReportPeriod) {
+            backlogs.push_back(backlogOf(pool, queue, snapshot));
         }
     }
     return backlogs;
@@ -424,7 +430,7 @@
         OutgoingPieceOutcomes send;
         send.host = host;
         send.outcomes.outcomes = std::move(outcomes);
-        send.outcomes.backlog = backlogOf(pool, m_lines[pool], snapshot);
+        send.outcomes.backlog = backlogOf(pool, m_queues[pool], snapshot);
         sends.push_back(std::move(send));
     }
     return sends;
--- a/lib/Kernel/piececalls.cpp
+++ b/lib/Kernel/piececalls.cpp
@@ -1,8 +1,8 @@
-//===- piececalls.cpp - Forming calls of many pieces ----------------------===//
+//===- piececalls.cpp - Formation of calls to endpoints -------------------===//
 ///
 /// \file
-/// When the batcher calls an endpoint and with which pieces. What comes of calls is in
-/// piecebatcher.cpp.
+/// Decides when the batcher calls an endpoint, and with which pieces. The end of calls
+/// is handled in piecebatcher.cpp.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,138 +20,145 @@
 
 using std::chrono::milliseconds;
 
-/// The next call is sent this long before the current one is expected to end: a hop
-/// and the endpoint's own queue, so that the endpoint never idles.
-constexpr milliseconds lead{15};
-/// Calls in flight at one endpoint: the current one and the next.
-constexpr std::size_t mostFlights = 2;
-/// A call is given up after so many times what it should take, and this much.
+/// The next call is sent this long before the current one is expected to end, so that the
+/// endpoint does not idle. Covers one network hop and the endpoint's own queue.
+constexpr milliseconds sendAhead{15};
+/// Calls in flight per endpoint: the current one and the next.
+constexpr std::size_t maxActiveCalls = 2;
+/// The timeout of a call is its expected duration times timeoutFactor, plus timeoutSlack.
 constexpr double timeoutFactor = 2;
 constexpr milliseconds timeoutSlack{600};
-/// Where pieces wait that no free endpoint may take, they are looked at again after this; not
-/// sooner where many wait.
-constexpr milliseconds lookInterval{15};
-/// From so many batches waiting on, the pieces of one request are spread over several
-/// calls rather than leave places empty: more is served then, each somewhat later.
-constexpr std::size_t splittingBatches = 2;
-/// With so many batches waiting, the next call is full whether or not it is looked for at once.
-constexpr std::size_t manyBatches = 4;
+/// The interval between scans of a queue whose pieces no free endpoint may take. If many
+/// pieces wait, it is also the minimum interval (see isScanThrottled()).
+constexpr milliseconds rescanInterval{15};
+/// If this number of batches waits, the pieces of one request may be split over several calls
+/// rather than leave batch slots empty. This raises throughput at the cost of latency.
+constexpr std::size_t groupSplitBatches = 2;
+/// If this number of batches waits, the next call is full even if the scan is delayed.
+constexpr std::size_t scanThrottleBatches = 4;
 
 } // namespace
 
-/// When the endpoint can take its next call; \p now where nothing holds it back, so that
-/// two readings of the clock can never keep it waiting.
-TimePoint PieceBatcher::freeAt(const Line &line, const EndpointEntry &endpoint, TimePoint now)
+/// Returns when \p endpoint accepts its next call. Returns exactly \p now if nothing delays
+/// it, so that a clock that advances between two readings cannot delay the call.
+TimePoint PieceBatcher::nextCallAt(const PoolQueue &queue, const EndpointEntry &endpoint,
+                                   TimePoint now)
 {
     const TimePoint opens = availableAt(endpoint, now);
-    const auto found = line.makers.find(endpoint.spec.name);
-    if (found == line.makers.end()) {
+    const auto found = queue.endpointStates.find(endpoint.spec.name);
+    if (found == queue.endpointStates.end()) {
         return opens;
     }
-    const Maker &maker = found->second;
-    if (maker.flights.size() >= mostFlights) {
-        return std::max(opens, maker.flights.back().expectedEnd);
+    const EndpointState &state = found->second;
+    if (state.activeCalls.size() >= maxActiveCalls) {
+        return std::max(opens, state.activeCalls.back().expectedEnd);
     }
-    if (maker.flights.empty()) {
-        return std::max(opens, maker.blockedUntil);
+    if (state.activeCalls.empty()) {
+        return std::max(opens, state.blockedUntil);
     }
-    // What has taken so much longer than it should is expected to take that long again.
-    const Duration overdue = now - maker.flights.front().expectedEnd;
-    const TimePoint last = std::max<TimePoint>(maker.flights.back().expectedEnd, now + overdue);
-    return std::max({opens, TimePoint(last - lead), maker.blockedUntil});
+    // An overdue call is expected to take the overdue time once more.
+    const Duration overdueBy = now - state.activeCalls.front().expectedEnd;
+    const TimePoint last =
+        std::max<TimePoint>(state.activeCalls.back().expectedEnd, now + overdueBy);
+    return std::max({opens, TimePoint(last - sendAhead), state.blockedUntil});
 }
 
-/// What the choice of calls looks at, read once for each look: with a thousand pieces before
-/// twenty endpoints, reading it for each pair took tens of milliseconds of a small host.
-PieceBatcher::Sites PieceBatcher::sitesOf(const Line &line, const PoolEntry &pool) const
+/// Returns the state of all usable endpoints, evaluated once per scan. Evaluating it for each
+/// pair of 1,000 waiting pieces and 20 endpoints took tens of milliseconds on a small host.
+PieceBatcher::Candidates PieceBatcher::candidatesFor(const PoolQueue &queue,
+                                                     const PoolEntry &pool) const
 {
     const TimePoint now = m_clock.now();
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
-    Sites sites;
-    sites.reserve(pool.endpoints.size());
+    Candidates candidates;
+    candidates.reserve(pool.endpoints.size());
     for (const EndpointEntry &endpoint : pool.endpoints) {
         if (isUsable(endpoint, now)) {
-            sites.push_back(siteOf(endpoint, line, work));
+            candidates.push_back(candidateFor(endpoint, queue, work));
         }
     }
-    return sites;
+    return candidates;
 }
 
-PieceBatcher::Site PieceBatcher::siteOf(const EndpointEntry &endpoint, const Line &line,
-                                        const PieceWorkSpec &work) const
+PieceBatcher::Candidate PieceBatcher::candidateFor(const EndpointEntry &endpoint,
+                                                   const PoolQueue &queue,
+                                                   const PieceWorkSpec &work) const
 {
-    const auto maker = line.makers.find(endpoint.spec.name);
-    Site site;
-    site.endpoint = &endpoint;
-    site.freeAt = freeAt(line, endpoint, m_clock.now());
-    site.endAt = site.freeAt
-                 + scaled(work.callTime, maker == line.makers.end() ? 1 : maker->second.slowness);
-    site.allocatedBytes = allocatedBytes(line, endpoint.spec.name, work);
-    return site;
+    const auto state = queue.endpointStates.find(endpoint.spec.name);
+    Candidate candidate;
+    candidate.endpoint = &endpoint;
+    candidate.nextCallAt = nextCallAt(queue, endpoint, m_clock.now());
+    candidate.endsAt =
+        candidate.nextCallAt
+        + scaled(work.callTime, state == queue.endpointStates.end() ? 1 : state->second.slowness);
+    candidate.allocatedBytes = allocatedBytes(queue, endpoint.spec.name, work);
+    return candidate;
 }
 
-/// Whether a look at the line is to wait: many pieces wait, and the last look left them there a
-/// moment ago. Looking at each order, daemons of a hundred that had all ended together spent
-/// their time on looks, and were not back 30 s later.
-bool PieceBatcher::looksTooOften(const Line &line, const PieceWorkSpec &work) const
+/// Returns whether to postpone the scan of \p queue, because many pieces wait and the last scan
+/// left them there less than rescanInterval ago. With a scan for each order, a group of 100
+/// daemons that had all ended together spent its time on scans, and had not recovered after 30 s.
+bool PieceBatcher::isScanThrottled(const PoolQueue &queue, const PieceWorkSpec &work) const
 {
-    return m_clock.now() < line.looksAgainAt && line.waiting.size() > work.batch * manyBatches;
+    return m_clock.now() < queue.noScanBefore
+           && queue.waiting.size() > work.batch * scanThrottleBatches;
 }
 
-void PieceBatcher::pump(const std::string &poolName, Line &line, const Snapshot &snapshot)
+void PieceBatcher::formCalls(const std::string &poolName, PoolQueue &queue,
+                             const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    line.nextLook = TimePoint::max();
-    line.room.expire(now);
-    if (line.waiting.empty()) {
+    queue.nextScan = TimePoint::max();
+    queue.bufferUsage.expire(now);
+    if (queue.waiting.empty()) {
         return;
     }
     const PoolEntry *pool = snapshot.poolOrPartition(poolName);
     const auto acceptsCalls = [now](const EndpointEntry &entry) { return isUsable(entry, now); };
     if (pool == nullptr
         || std::none_of(pool->endpoints.begin(), pool->endpoints.end(), acceptsCalls)) {
-        for (const Item &item : std::exchange(line.waiting, {})) {
-            settle(poolName, item, {}, {}, PieceFault::Refused);
+        for (const QueuedPiece &item : std::exchange(queue.waiting, {})) {
+            addOutcome(poolName, item, {}, {}, PieceFault::Refused);
         }
         return;
     }
     const PieceWorkSpec work = pool->spec.pieces.value_or(PieceWorkSpec{});
-    if (looksTooOften(line, work)) {
-        line.nextLook = line.looksAgainAt;
+    if (isScanThrottled(queue, work)) {
+        queue.nextScan = queue.noScanBefore;
         return;
     }
-    dropLate(line, poolName, *pool);
-    Sites sites = sitesOf(line, *pool);
-    if (nextFree(sites) != nullptr) {
-        sortByUrgency(line, now, work);
+    dropLate(queue, poolName, *pool);
+    Candidates candidates = candidatesFor(queue, *pool);
+    if (bestAvailable(candidates) != nullptr) {
+        sortByUrgency(queue, now, work);
     }
-    bool hasPassed = false; // One that is free, but with nothing to do.
-    while (!line.waiting.empty()) {
-        Site *site = nextFree(sites);
-        if (site == nullptr) {
+    bool hasSkipped = false; // Whether an available endpoint may take none of the pieces.
+    while (!queue.waiting.empty()) {
+        Candidate *candidate = bestAvailable(candidates);
+        if (candidate == nullptr) {
             break;
         }
-        if (form(*site, sites, line, *pool)) {
-            *site = siteOf(*site->endpoint, line, work);
+        if (formCall(*candidate, candidates, queue, *pool)) {
+            *candidate = candidateFor(*candidate->endpoint, queue, work);
         } else {
-            site->isPassed = true;
-            hasPassed = true;
+            candidate->isSkipped = true;
+            hasSkipped = true;
         }
     }
-    if (line.waiting.empty()) {
+    if (queue.waiting.empty()) {
         return;
     }
-    line.looksAgainAt = now + lookInterval;
-    line.nextLook = hasPassed ? line.looksAgainAt : TimePoint::max();
-    for (const Site &site : sites) {
-        if (site.freeAt > now) {
-            line.nextLook = std::min(line.nextLook, site.freeAt);
+    queue.noScanBefore = now + rescanInterval;
+    queue.nextScan = hasSkipped ? queue.noScanBefore : TimePoint::max();
+    for (const Candidate &candidate : candidates) {
+        if (candidate.nextCallAt > now) {
+            queue.nextScan = std::min(queue.nextScan, candidate.nextCallAt);
         }
     }
 }
 
-/// A piece that would be too late takes no place from one that is not.
-void PieceBatcher::dropLate(Line &line, const std::string &poolName, const PoolEntry &pool)
+/// Drops the pieces that would miss their deadline, so that they take no batch slots from others.
+void PieceBatcher::dropLate(PoolQueue &queue, const std::string &poolName, const PoolEntry &pool)
 {
     const TimePoint now = m_clock.now();
     TimePoint opens = TimePoint::max();
@@ -162,69 +169,72 @@
     }
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
     const TimePoint earliest = opens + work.callTime;
-    const auto isLate = [earliest](const Item &item) { return item.due < earliest; };
-    for (const Item &item : line.waiting) {
+    const auto isLate = [earliest](const QueuedPiece &item) { return item.deadline < earliest; };
+    for (const QueuedPiece &item : queue.waiting) {
         if (isLate(item)) {
-            learnWait(line, item);
-            settle(poolName, item, {}, {}, PieceFault::Late);
+            updateCorrection(queue, item);
+            addOutcome(poolName, item, {}, {}, PieceFault::Late);
         }
     }
-    std::erase_if(line.waiting, isLate);
+    std::erase_if(queue.waiting, isLate);
 }
 
-/// What would miss its objective anyway lets those go first that can still make it.
-void PieceBatcher::sortByUrgency(Line &line, TimePoint now, const PieceWorkSpec &work)
+/// Sorts the queue; pieces that cannot meet their objective any more come last.
+void PieceBatcher::sortByUrgency(PoolQueue &queue, TimePoint now, const PieceWorkSpec &work)
 {
     const TimePoint earliest = now + work.callTime;
-    const auto rank = [earliest](const Item &item) {
-        return std::tuple(item.wanted < earliest, item.order.priority, item.wanted,
+    const auto rank = [earliest](const QueuedPiece &item) {
+        return std::tuple(item.objective < earliest, item.order.priority, item.objective,
                           item.order.id.request, item.order.id.stage);
     };
-    std::stable_sort(line.waiting.begin(), line.waiting.end(),
-                     [&rank](const Item &a, const Item &b) { return rank(a) < rank(b); });
+    std::stable_sort(
+        queue.waiting.begin(), queue.waiting.end(),
+        [&rank](const QueuedPiece &a, const QueuedPiece &b) { return rank(a) < rank(b); });
 }
 
-/// The endpoint that is free now and would end a call soonest; null where none is, or
-/// where to wait for one that is busy now would be quicker.
-PieceBatcher::Site *PieceBatcher::nextFree(Sites &sites) const
+/// Returns the available endpoint that would complete a call first; nullptr if there is none, or
+/// if a busy endpoint would complete it earlier.
+PieceBatcher::Candidate *PieceBatcher::bestAvailable(Candidates &candidates) const
 {
-    Site *best = nullptr;
-    for (Site &site : sites) {
-        if (!site.isPassed && (best == nullptr || site.endAt < best->endAt)) {
-            best = &site;
+    Candidate *best = nullptr;
+    for (Candidate &candidate : candidates) {
+        if (!candidate.isSkipped && (best == nullptr || candidate.endsAt < best->endsAt)) {
+            best = &candidate;
         }
     }
-    return best != nullptr && best->freeAt <= m_clock.now() ? best : nullptr;
+    return best != nullptr && best->nextCallAt <= m_clock.now() ? best : nullptr;
 }
 
-/// The room at \p endpoint that is taken, or promised to calls in flight.
-std::uint64_t PieceBatcher::allocatedBytes(const Line &line, const std::string &endpoint,
+/// Returns the buffer space at \p endpoint that results use or calls in flight reserve.
+std::uint64_t PieceBatcher::allocatedBytes(const PoolQueue &queue, const std::string &endpoint,
                                            const PieceWorkSpec &work) const
 {
-    if (line.room.isFull(endpoint, m_clock.now())) {
-        return std::max(line.room.bytesAt(endpoint), work.roomBytes);
+    if (queue.bufferUsage.isFull(endpoint, m_clock.now())) {
+        return std::max(queue.bufferUsage.bytesAt(endpoint), work.roomBytes);
     }
-    std::uint64_t booked = line.room.bytesAt(endpoint);
-    const auto found = line.makers.find(endpoint);
-    if (found == line.makers.end()) {
-        return booked;
+    std::uint64_t allocated = queue.bufferUsage.bytesAt(endpoint);
+    const auto found = queue.endpointStates.find(endpoint);
+    if (found == queue.endpointStates.end()) {
+        return allocated;
     }
-    for (const Flight &flight : found->second.flights) {
-        for (const Item &item : flight.items) {
-            booked += item.order.resultBytes;
+    for (const ActiveCall &activeCall : found->second.activeCalls) {
+        for (const QueuedPiece &item : activeCall.items) {
+            allocated += item.order.resultBytes;
         }
     }
-    return booked;
+    return allocated;
 }
 
-/// Whether \p count pieces like \p item wait for the next call of an endpoint with fewer
-/// crossings: one that is free sooner than these are worth, and has places and room left
-/// behind what waits for it already. The places are then promised.
+/// Returns whether \p count pieces like \p item should wait for the next call of an endpoint with
+/// a lower transfer cost. Such an endpoint becomes available before the saved cost is used
+/// up, and its next call has batch slots and buffer space left beside those already reserved.
+/// If so, reserves them.
 ///
-/// Without that count, pieces waited for an endpoint whose next calls were full while those
-/// of others left empty: with 68 pieces waiting at three endpoints, calls of eight took 4.4.
-bool PieceBatcher::waitsForNearer(const Item &item, std::size_t count, const Site &here,
-                                  Sites &sites, const PieceWorkSpec &work) const
+/// Without reservations, pieces waited for an endpoint whose next calls were already full, while
+/// other endpoints got partly empty calls: with 68 pieces waiting at three endpoints, calls with
+/// a batch size of 8 held 4.4 pieces.
+bool PieceBatcher::defersToCloser(const QueuedPiece &item, std::size_t count, const Candidate &here,
+                                  Candidates &candidates, const PieceWorkSpec &work) const
 {
     const PieceTransfers transfers = transfersOf(item.order, count);
     const Duration costHere = transferCost(transfers, here.endpoint->spec.dataCentre);
@@ -233,67 +243,70 @@
     }
     const TimePoint now = m_clock.now();
     const std::uint64_t bytes = item.order.resultBytes * count;
-    for (Site &other : sites) {
+    for (Candidate &other : candidates) {
         const EndpointSpec &spec = other.endpoint->spec;
         const Duration saved = costHere - transferCost(transfers, spec.dataCentre);
-        const bool isNearer =
-            saved > Duration::zero() && spec.name != item.order.avoid && other.freeAt < now + saved;
-        if (!isNearer) {
+        const bool isCloser = saved > Duration::zero() && spec.name != item.order.avoid
+                              && other.nextCallAt < now + saved;
+        if (!isCloser) {
             continue;
         }
-        const std::uint64_t booked = other.allocatedBytes + other.promisedBytes;
-        const bool hasRoom = work.roomBytes == 0 || booked + bytes <= work.roomBytes;
-        if (other.promisedPlaces + count <= work.batch && hasRoom) {
-            other.promisedPlaces += count;
-            other.promisedBytes += bytes;
+        const std::uint64_t allocated = other.allocatedBytes + other.reservedBytes;
+        const bool hasSpace = work.roomBytes == 0 || allocated + bytes <= work.roomBytes;
+        if (other.reservedSlots + count <= work.batch && hasSpace) {
+            other.reservedSlots += count;
+            other.reservedBytes += bytes;
             return true;
         }
     }
     return false;
 }
 
-/// Chooses from the queue, the most urgent first. The pieces of one request go into one
-/// call where they fit, so that none of them waits for another call.
-PieceBatcher::Choice PieceBatcher::choose(const Site &site, Sites &sites, const Line &line,
-                                          const PoolEntry &pool) const
+/// Selects pieces from the sorted queue. The pieces of one request go into one call if they
+/// fit, so that none of them waits for another call.
+PieceBatcher::BatchSelection PieceBatcher::selectBatch(const Candidate &candidate,
+                                                       Candidates &candidates,
+                                                       const PoolQueue &queue,
+                                                       const PoolEntry &pool) const
 {
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
-    const std::string &name = site.endpoint->spec.name;
-    std::uint64_t taken = site.allocatedBytes;
-    for (Site &other : sites) {
-        other.promisedPlaces = 0;
-        other.promisedBytes = 0;
+    const std::string &name = candidate.endpoint->spec.name;
+    std::uint64_t allocated = candidate.allocatedBytes;
+    for (Candidate &other : candidates) {
+        other.reservedSlots = 0;
+        other.reservedBytes = 0;
     }
-    const bool splits = line.waiting.size() >= work.batch * splittingBatches;
-    const bool isOnlyOne = pool.endpoints.size() == 1;
-    Choice choice;
+    const bool splits = queue.waiting.size() >= work.batch * groupSplitBatches;
+    const bool isOnlyEndpoint = pool.endpoints.size() == 1;
+    BatchSelection selection;
     std::size_t begin = 0;
-    while (begin < line.waiting.size() && choice.places.size() < work.batch) {
-        const Item &first = line.waiting[begin];
-        const std::size_t end = endOfGroup(line.waiting, begin);
+    while (begin < queue.waiting.size() && selection.indices.size() < work.batch) {
+        const QueuedPiece &first = queue.waiting[begin];
+        const std::size_t end = endOfGroup(queue.waiting, begin);
         const std::size_t group = end - begin;
-        const std::size_t places = work.batch - choice.places.size();
-        const bool fits = group <= places || splits || (choice.places.empty() && group > places);
-        const bool isAvoided = first.order.avoid == name && !isOnlyOne;
-        if (fits && !isAvoided && !waitsForNearer(first, group, site, sites, work)) {
-            for (std::size_t i = begin; i < std::min(end, begin + places); ++i) {
-                const std::uint64_t bytes = line.waiting[i].order.resultBytes;
-                if (work.roomBytes > 0 && taken + bytes > work.roomBytes) {
-                    choice.lackingBufferSpace += std::min(end, begin + places) - i;
+        const std::size_t freeSlots = work.batch - selection.indices.size();
+        const bool fits =
+            group <= freeSlots || splits || (selection.indices.empty() && group > freeSlots);
+        const bool isAvoided = first.order.avoid == name && !isOnlyEndpoint;
+        if (fits && !isAvoided && !defersToCloser(first, group, candidate, candidates, work)) {
+            for (std::size_t i = begin; i < std::min(end, begin + freeSlots); ++i) {
+                const std::uint64_t bytes = queue.waiting[i].order.resultBytes;
+                if (work.roomBytes > 0 && allocated + bytes > work.roomBytes) {
+                    selection.lackingBufferSpace += std::min(end, begin + freeSlots) - i;
                     break;
                 }
-                taken += bytes;
-                choice.places.push_back(i);
+                allocated += bytes;
+                selection.indices.push_back(i);
             }
         }
         begin = end;
     }
-    choice.allocatedBytes = taken;
-    return choice;
+    selection.allocatedBytes = allocated;
+    return selection;
 }
 
-/// The end of the pieces from \p begin on that belong to one stage of one request.
-std::size_t PieceBatcher::endOfGroup(const std::vector<Item> &waiting, std::size_t begin)
+/// Returns the end of the range from \p begin whose pieces belong to one stage of one request.
+std::size_t PieceBatcher::endOfGroup(const std::vector<QueuedPiece> &waiting, std::size_t begin)
 {
     const PieceId &first = waiting[begin].order.id;
     std::size_t end = begin + 1;
@@ -304,69 +317,71 @@
     return end;
 }
 
-/// Forms a call; false where there is nothing that this endpoint may take.
-bool PieceBatcher::form(const Site &site, Sites &sites, Line &line, const PoolEntry &pool)
+/// Forms a call; returns false if the endpoint may take none of the waiting pieces.
+bool PieceBatcher::formCall(const Candidate &candidate, Candidates &candidates, PoolQueue &queue,
+                            const PoolEntry &pool)
 {
-    const EndpointEntry &endpoint = *site.endpoint;
+    const EndpointEntry &endpoint = *candidate.endpoint;
     const TimePoint now = m_clock.now();
     if (availableAt(endpoint, now) > now) {
         return false;
     }
-    const Choice choice = choose(site, sites, line, pool);
-    if (choice.places.empty()) {
+    const BatchSelection selection = selectBatch(candidate, candidates, queue, pool);
+    if (selection.indices.empty()) {
         return false;
     }
-    std::vector<Item> items;
-    for (const std::size_t place : choice.places) {
-        items.push_back(std::move(line.waiting[place]));
+    std::vector<QueuedPiece> items;
+    for (const std::size_t index : selection.indices) {
+        items.push_back(std::move(queue.waiting[index]));
     }
-    for (auto place = choice.places.rbegin(); place != choice.places.rend(); ++place) {
-        line.waiting.erase(line.waiting.begin() + static_cast<std::ptrdiff_t>(*place));
+    for (auto index = selection.indices.rbegin(); index != selection.indices.rend(); ++index) {
+        queue.waiting.erase(queue.waiting.begin() + static_cast<std::ptrdiff_t>(*index));
     }
     const PieceWorkSpec work = pool.spec.pieces.value_or(PieceWorkSpec{});
     PieceCallStats stats;
     stats.pool = pool.spec.name;
-    stats.waiting = line.waiting.size();
-    stats.lackingBufferSpace = choice.lackingBufferSpace;
-    stats.allocatedBytes = choice.allocatedBytes;
+    stats.waiting = queue.waiting.size();
+    stats.lackingBufferSpace = selection.lackingBufferSpace;
+    stats.allocatedBytes = selection.allocatedBytes;
     stats.roomBytes = work.roomBytes;
-    for (const Item &item : items) {
-        stats.longestWait = std::max<Duration>(stats.longestWait, m_clock.now() - item.takenAt);
+    for (const QueuedPiece &item : items) {
+        stats.longestWait = std::max<Duration>(stats.longestWait, m_clock.now() - item.receivedAt);
     }
-    send(endpoint, line.makers[endpoint.spec.name], std::move(items), work);
+    send(endpoint, queue.endpointStates[endpoint.spec.name], std::move(items), work);
     m_calls.back().stats = std::move(stats);
     return true;
 }
 
-void PieceBatcher::send(const EndpointEntry &endpoint, Maker &maker, std::vector<Item> items,
-                        const PieceWorkSpec &work)
+void PieceBatcher::send(const EndpointEntry &endpoint, EndpointState &state,
+                        std::vector<QueuedPiece> items, const PieceWorkSpec &work)
 {
     const TimePoint now = m_clock.now();
-    Flight flight;
-    flight.id = m_nextCallId++;
-    flight.sentAt = now;
-    flight.declared = work.callTime + work.pieceTime * static_cast<int>(items.size());
-    const TimePoint begin = maker.flights.empty() ? now : maker.flights.back().expectedEnd;
-    flight.expectedEnd = std::max(begin, now) + scaled(flight.declared, maker.slowness);
+    ActiveCall activeCall;
+    activeCall.id = m_nextCallId++;
+    activeCall.sentAt = now;
+    activeCall.declared = work.callTime + work.pieceTime * static_cast<int>(items.size());
+    const TimePoint begin = state.activeCalls.empty() ? now : state.activeCalls.back().expectedEnd;
+    activeCall.expectedEnd = std::max(begin, now) + scaled(activeCall.declared, state.slowness);
 
     PieceCall call;
-    call.id = flight.id;
+    call.id = activeCall.id;
     call.endpoint = endpoint.spec.name;
     call.endpointIdentity = endpoint.spec.lastingName();
     call.address = endpoint.spec.address;
-    call.timeout = scaled(flight.expectedEnd - now + flight.declared, timeoutFactor) + timeoutSlack;
-    for (Item &item : items) {
-        item.order.untilObjective = item.wanted - now;
-        item.order.untilDeadline = item.due - now;
+    call.timeout =
+        scaled(activeCall.expectedEnd - now + activeCall.declared, timeoutFactor) + timeoutSlack;
+    for (QueuedPiece &item : items) {
+        item.order.untilObjective = item.objective - now;
+        item.order.untilDeadline = item.deadline - now;
         call.orders.push_back(item.order);
     }
     m_pieceCount += items.size();
     ++m_callCount;
-    flight.items = std::move(items);
-    maker.flights.push_back(std::move(flight));
-    const bool hasTurn = claimSendSlot(endpoint, now);
-    assert(hasTurn && "only the batcher sends to the endpoints of its pool");
-    (void)hasTurn;
+    activeCall.items = std::move(items);
+    state.activeCalls.push_back(std::move(activeCall));
+    const bool hasSendSlot = claimSendSlot(endpoint, now);
+    assert(hasSendSlot && "only the batcher sends to the endpoints of its pool");
+    (void)hasSendSlot;
     recordSend(endpoint, now);
     m_calls.push_back(std::move(call));
 }
--- a/lib/Kernel/pieceforecast.cpp
+++ b/lib/Kernel/pieceforecast.cpp
@@ -1,4 +1,4 @@
-//===- pieceforecast.cpp - When pieces are made ---------------------------===//
+//===- pieceforecast.cpp - Completion forecasts ---------------------------===//
 
 #include "harelink/Kernel/pieceforecast.h"
 
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr double percent = 100;
-/// At a whole call 0.562, 0.370 and 0.461, at a quarter 0.563, 0.373 and 0.481 of the sites
-/// that reach 0.572, 0.380 and 0.479 with a half: a wide optimum.
-constexpr double sparePart = 0.5;
-/// Another data centre has to promise to be sooner by this: about the length of a call, by
-/// which forecasts of that age are off.
-constexpr std::chrono::milliseconds crossingReserve{150};
+/// See hasSpareBatchSlots(). The optimum is flat: the worth at three sites was 0.572, 0.380 and
+/// 0.479 with 0.5, 0.562, 0.370 and 0.461 with 1, and 0.563, 0.373 and 0.481 with 0.25.
+constexpr double spareFraction = 0.5;
+/// Another data centre is chosen only if it is predicted to be sooner by more than this: about
+/// the duration of a call, which is the error of forecasts of that age.
+constexpr std::chrono::milliseconds minTransferGain{150};
 
 } // namespace
 
@@ -34,7 +34,7 @@
         return std::any_of(part.endpoints.begin(), part.endpoints.end(),
                            [now](const EndpointEntry &entry) { return isUsable(entry, now); });
     };
-    const PoolEntry *avoided = nullptr; // Failed them; the last resort.
+    const PoolEntry *avoided = nullptr; // Used only if no other part is usable.
     std::vector<const PoolEntry *> parts;
     for (const std::string &name : pool.partitions) {
         const PoolEntry *part = snapshot.poolOrPartition(name);
@@ -55,17 +55,18 @@
                                               return transferCost(group.transfers, a->dataCentre)
                                                      < transferCost(group.transfers, b->dataCentre);
                                           });
-    const PoolEntry *own = *nearest;
+    const PoolEntry *nearestPart = *nearest;
     parts.erase(nearest);
     if (parts.empty()) {
-        return *own;
+        return *nearestPart;
     }
-    const PoolEntry *other = parts[group.selectionHash % parts.size()];
+    const PoolEntry *sampledPart = parts[group.selectionHash % parts.size()];
     const auto predicted = [&](const PoolEntry &part) {
         return predictCompletion(part, group.count, group.priority, now)
                + transferCost(group.transfers, part.dataCentre);
     };
-    return predicted(*other) + crossingReserve < predicted(*own) ? *other : *own;
+    return predicted(*sampledPart) + minTransferGain < predicted(*nearestPart) ? *sampledPart
+                                                                               : *nearestPart;
 }
 
 Duration predictCompletion(const PoolEntry &pool, std::uint32_t pieces, int priority, TimePoint now)
@@ -79,19 +80,21 @@
     for (std::size_t i = 0; i <= priorityClass(priority); ++i) {
         waiting += std::max(0, load.waiting[i].load(std::memory_order_relaxed));
     }
-    const std::uint32_t all = static_cast<std::uint32_t>(waiting) + pieces;
-    const std::uint32_t callsBefore = (all - 1) / work.batch;
+    const std::uint32_t total = static_cast<std::uint32_t>(waiting) + pieces;
+    const std::uint32_t callsBefore = (total - 1) / work.batch;
     const Duration fullCall = work.callTime + work.pieceTime * work.batch;
-    // Calls of several endpoints end one after the other.
-    const int told = load.endpoints.load(std::memory_order_relaxed);
-    const int endpoints = told > 0 ? told : std::max(1, static_cast<int>(pool.endpoints.size()));
+    // The calls of several endpoints are assumed to end evenly spaced.
+    const int reported = load.endpoints.load(std::memory_order_relaxed);
+    const int endpoints =
+        reported > 0 ? reported : std::max(1, static_cast<int>(pool.endpoints.size()));
     const Duration before = fullCall * callsBefore / endpoints;
-    const Duration own = work.callTime + work.pieceTime * std::min(all, work.batch);
+    const Duration ownCall = work.callTime + work.pieceTime * std::min(total, work.batch);
     const double slowness = load.slownessPercent.load(std::memory_order_relaxed) / percent;
     const std::int64_t freeIn = load.freeAt.load(std::memory_order_relaxed) - steadyNanos(now);
     const double correction = load.correctionPercent.load(std::memory_order_relaxed) / percent;
     const Duration wait = std::chrono::nanoseconds(std::max<std::int64_t>(0, freeIn));
-    return std::chrono::duration_cast<Duration>((wait + (before + own) * slowness) * correction);
+    return std::chrono::duration_cast<Duration>((wait + (before + ownCall) * slowness)
+                                                * correction);
 }
 
 bool hasSpareBatchSlots(const PoolEntry &pool)
@@ -100,13 +103,13 @@
         return true;
     }
     int waiting = 0;
-    for (const std::atomic<int> &ofClass : pool.pieceLoad->waiting) {
-        waiting += std::max(0, ofClass.load(std::memory_order_relaxed));
+    for (const std::atomic<int> &classCount : pool.pieceLoad->waiting) {
+        waiting += std::max(0, classCount.load(std::memory_order_relaxed));
     }
-    const int told = pool.pieceLoad->endpoints.load(std::memory_order_relaxed);
-    const int endpoints = told > 0 ? told : static_cast<int>(pool.endpoints.size());
+    const int reported = pool.pieceLoad->endpoints.load(std::memory_order_relaxed);
+    const int endpoints = reported > 0 ? reported : static_cast<int>(pool.endpoints.size());
     const double places = static_cast<double>(pool.spec.pieces->batch) * endpoints;
-    return waiting < places * sparePart;
+    return waiting < places * spareFraction;
 }
 
 void recordBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now)
--- a/lib/Kernel/piecegraph.cpp
+++ b/lib/Kernel/piecegraph.cpp
@@ -1,4 +1,4 @@
-//===- piecegraph.cpp - A request's pieces --------------------------------===//
+//===- piecegraph.cpp - Piece dependencies --------------------------------===//
 
 #include "harelink/Kernel/piecegraph.h"
 
@@ -28,35 +28,36 @@
     }
 }
 
-/// Whether the results are made that each piece of \p stage reads.
+/// Returns whether all results that the pieces of \p stage read are completed.
 bool PieceGraph::hasInputs(std::uint32_t stage) const
 {
     const std::vector<std::uint32_t> &after = m_stages[stage].spec.after;
     return std::all_of(after.begin(), after.end(),
-                       [this](std::uint32_t before) { return isMade(before); });
+                       [this](std::uint32_t before) { return isStageCompleted(before); });
 }
 
-bool PieceGraph::mayBeHeldBack(std::uint32_t stage) const
+bool PieceGraph::canBeDeferred(std::uint32_t stage) const
 {
     return m_stages[stage].isFinal && m_stages[stage].spec.after.empty();
 }
 
-/// The time that the longest chain of stages takes which still waits for inputs.
-Duration PieceGraph::longestWaitingChain(const std::vector<Duration> &times) const
+/// Returns the total time of the longest chain of stages that starts at a stage with missing
+/// inputs.
+Duration PieceGraph::longestPendingChain(const std::vector<Duration> &times) const
 {
     std::vector<Duration> chains(m_stages.size(), Duration::zero());
     Duration longest{};
-    // A stage comes after earlier ones only: from the end, each chain is known when needed.
+    // Stages depend on earlier ones only, so in reverse order all later chains are known.
     for (std::uint32_t i = static_cast<std::uint32_t>(m_stages.size()); i-- > 0;) {
         const Stage &stage = m_stages[i];
-        const bool isLeftOut = stage.pieces.empty();
-        if (!isLeftOut) {
+        const bool isEmpty = stage.pieces.empty();
+        if (!isEmpty) {
             chains[i] += i < times.size() ? times[i] : Duration::zero();
         }
         for (const std::uint32_t before : stage.spec.after) {
             chains[before] = std::max(chains[before], chains[i]);
         }
-        if (!isLeftOut && !hasInputs(i)) {
+        if (!isEmpty && !hasInputs(i)) {
             longest = std::max(longest, chains[i]);
         }
     }
@@ -65,16 +66,17 @@
 
 std::vector<PieceIndex> PieceGraph::scheduleReady(const std::vector<Duration> &times)
 {
-    const Duration waiting = longestWaitingChain(times);
+    const Duration waiting = longestPendingChain(times);
     std::vector<PieceIndex> ready;
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         Stage &stage = m_stages[i];
-        const Duration own = i < times.size() ? times[i] : Duration::zero();
-        const bool isHeldBack = mayBeHeldBack(i) && waiting > Duration::zero() && own <= waiting;
-        const bool isReady = hasInputs(i) && !isHeldBack;
+        const Duration duration = i < times.size() ? times[i] : Duration::zero();
+        const bool isDeferred =
+            canBeDeferred(i) && waiting > Duration::zero() && duration <= waiting;
+        const bool isReady = hasInputs(i) && !isDeferred;
         for (std::uint32_t p = 0; isReady && p < stage.pieces.size(); ++p) {
             if (stage.pieces[p].state == State::Waiting) {
-                stage.pieces[p].state = State::GivenOut;
+                stage.pieces[p].state = State::Scheduled;
                 ready.push_back({i, p});
             }
         }
@@ -82,43 +84,43 @@
     return ready;
 }
 
-bool PieceGraph::markCompleted(PieceIndex place, const std::string &handle,
+bool PieceGraph::markCompleted(PieceIndex index, const std::string &handle,
                                const std::string &dataCentre)
 {
-    Piece &piece = m_stages.at(place.stage).pieces.at(place.piece);
-    if (piece.state == State::Made) {
+    Piece &piece = m_stages.at(index.stage).pieces.at(index.piece);
+    if (piece.state == State::Completed) {
         return false;
     }
-    piece.state = State::Made;
+    piece.state = State::Completed;
     piece.handle = handle;
     piece.dataCentre = dataCentre;
     return true;
 }
 
-void PieceGraph::reschedule(PieceIndex place)
+void PieceGraph::reschedule(PieceIndex index)
 {
-    Piece &piece = m_stages.at(place.stage).pieces.at(place.piece);
-    if (piece.state == State::GivenOut) {
+    Piece &piece = m_stages.at(index.stage).pieces.at(index.piece);
+    if (piece.state == State::Scheduled) {
         piece.state = State::Waiting;
     }
 }
 
-void PieceGraph::remake(std::uint32_t stage)
+void PieceGraph::recompute(std::uint32_t stage)
 {
     m_stages[stage].released = false;
     for (Piece &piece : m_stages[stage].pieces) {
         piece = {};
     }
-    // What they were made from may be gone too, and certainly is where it was freed.
+    // The inputs may be lost as well, and are lost if they were freed.
     for (const std::uint32_t before : m_stages[stage].spec.after) {
-        remake(before);
+        recompute(before);
     }
 }
 
 void PieceGraph::recomputeInputs(std::uint32_t stage)
 {
     for (const std::uint32_t before : m_stages.at(stage).spec.after) {
-        remake(before);
+        recompute(before);
     }
 }
 
@@ -126,22 +128,22 @@
 {
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         if (m_stages[i].isFinal) {
-            remake(i);
+            recompute(i);
         }
     }
 }
 
-bool PieceGraph::isMade(std::uint32_t stage) const
+bool PieceGraph::isStageCompleted(std::uint32_t stage) const
 {
     const std::vector<Piece> &pieces = m_stages[stage].pieces;
     return std::all_of(pieces.begin(), pieces.end(),
-                       [](const Piece &piece) { return piece.state == State::Made; });
+                       [](const Piece &piece) { return piece.state == State::Completed; });
 }
 
 bool PieceGraph::isComplete() const
 {
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
-        if (!isMade(i)) {
+        if (!isStageCompleted(i)) {
             return false;
         }
     }
@@ -172,33 +174,33 @@
     return handles;
 }
 
-void PieceGraph::addBytes(const Stage &stage, BytesByDataCentre &bytes)
+void PieceGraph::addCompletedBytes(const Stage &stage, BytesByDataCentre &bytes)
 {
     for (const Piece &piece : stage.pieces) {
-        if (piece.state == State::Made && !piece.dataCentre.empty()) {
+        if (piece.state == State::Completed && !piece.dataCentre.empty()) {
             bytes[piece.dataCentre] += stage.spec.resultBytes;
         }
     }
 }
 
-std::pair<std::string, std::uint64_t> PieceGraph::most(const BytesByDataCentre &bytes)
+std::pair<std::string, std::uint64_t> PieceGraph::largest(const BytesByDataCentre &bytes)
 {
-    std::pair<std::string, std::uint64_t> most;
+    std::pair<std::string, std::uint64_t> largest;
     for (const auto &[dataCentre, count] : bytes) {
-        if (count > most.second) {
-            most = {dataCentre, count};
+        if (count > largest.second) {
+            largest = {dataCentre, count};
         }
     }
-    return most;
+    return largest;
 }
 
 std::pair<std::string, std::uint64_t> PieceGraph::mainInputDataCentre(std::uint32_t stage) const
 {
     BytesByDataCentre bytes;
     for (const std::uint32_t before : m_stages.at(stage).spec.after) {
-        addBytes(m_stages[before], bytes);
+        addCompletedBytes(m_stages[before], bytes);
     }
-    return most(bytes);
+    return largest(bytes);
 }
 
 std::pair<std::string, std::uint64_t> PieceGraph::mainResultDataCentre() const
@@ -206,10 +208,10 @@
     BytesByDataCentre bytes;
     for (const Stage &stage : m_stages) {
         if (stage.isFinal) {
-            addBytes(stage, bytes);
+            addCompletedBytes(stage, bytes);
         }
     }
-    return most(bytes);
+    return largest(bytes);
 }
 
 std::vector<std::string> PieceGraph::releaseUnneeded()
@@ -217,12 +219,13 @@
     std::vector<std::string> handles;
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         Stage &stage = m_stages[i];
-        if (stage.isFinal || stage.released || stage.pieces.empty() || !isMade(i)) {
+        if (stage.isFinal || stage.released || stage.pieces.empty() || !isStageCompleted(i)) {
             continue;
         }
         const auto needs = [this, i](std::uint32_t other) {
             const std::vector<std::uint32_t> &after = m_stages[other].spec.after;
-            return !isMade(other) && std::find(after.begin(), after.end(), i) != after.end();
+            return !isStageCompleted(other)
+                   && std::find(after.begin(), after.end(), i) != after.end();
         };
         bool needed = false;
         for (std::uint32_t other = 0; other < m_stages.size(); ++other) {
@@ -244,7 +247,7 @@
     std::vector<std::string> handles;
     for (Stage &stage : m_stages) {
         for (Piece &piece : stage.pieces) {
-            if (piece.state == State::Made && !stage.released) {
+            if (piece.state == State::Completed && !stage.released) {
                 handles.push_back(std::exchange(piece.handle, {}));
             }
         }
--- a/lib/Kernel/piecerouter.cpp
+++ b/lib/Kernel/piecerouter.cpp
@@ -1,4 +1,4 @@
-//===- piecerouter.cpp - Where pieces are made ----------------------------===//
+//===- piecerouter.cpp - Routing of pieces --------------------------------===//
 
 #include "harelink/Kernel/piecerouter.h"
 
@@ -16,19 +16,20 @@
 
 using std::chrono::milliseconds;
 
-/// A batcher without a word for this long is passed over: two heartbeats and a half.
-constexpr milliseconds batcherSilence{600};
-/// How long a choice of batcher holds at most: short against that silence.
-constexpr milliseconds batcherLook{25};
-/// An order is given up on after so many times what was predicted, and this much.
-constexpr int patienceFactor = 2;
-constexpr milliseconds patience{500};
-/// How often one piece is ordered at most.
-constexpr std::uint32_t mostAttempts = 3;
-/// How often pending orders are looked at.
-constexpr milliseconds checkInterval{50};
-/// Longer than any endpoint keeps a result: what nobody freed until then is forgotten.
-constexpr milliseconds resultMemory{20'000};
+/// A batcher is regarded as unreachable after this time, 2.5 heartbeats, without a message.
+constexpr milliseconds batcherTimeout{600};
+/// Maximum age of a cached choice of batcher; short compared to batcherTimeout.
+constexpr milliseconds batcherCacheTtl{25};
+/// An order is overdue after its predicted time multiplied by resubmitTimeoutFactor, plus
+/// resubmitTimeoutSlack.
+constexpr int resubmitTimeoutFactor = 2;
+constexpr milliseconds resubmitTimeoutSlack{500};
+/// Maximum number of times that one piece is ordered.
+constexpr std::uint32_t maxAttempts = 3;
+/// The interval of checks for overdue orders.
+constexpr milliseconds pendingCheckInterval{50};
+/// Records of results are dropped after this time, longer than any endpoint keeps a result.
+constexpr milliseconds resultRecordTtl{20'000};
 constexpr milliseconds sweepInterval{1000};
 
 } // namespace
@@ -56,16 +57,16 @@
         Pending pending;
         pending.pool = pool;
         pending.order = order;
-        pending.wanted = now + order.untilObjective;
-        pending.due = now + order.untilDeadline;
+        pending.objective = now + order.untilObjective;
+        pending.deadline = now + order.untilDeadline;
         group.push_back(std::move(pending));
     }
-    place(std::move(group), snapshot);
+    dispatch(std::move(group), snapshot);
 }
 
-/// Orders a group of pieces of one pool at its batcher, or at that of a part which did
-/// not fail it before.
-void PieceRouter::place(std::vector<Pending> group, const Snapshot &snapshot)
+/// Sends a group of pieces of one pool to the batcher of the pool, or to the batcher of the
+/// part that choosePart() selects. Avoids a part that failed the group before.
+void PieceRouter::dispatch(std::vector<Pending> group, const Snapshot &snapshot)
 {
     if (group.empty()) {
         return;
@@ -92,26 +93,27 @@
         ++pending.attempts;
         pending.batcher = send.host;
         pending.part = send.orders.pool;
-        pending.orderedAt = now;
-        pending.checkAt = now + predicted * patienceFactor + patience;
-        pending.order.untilObjective = pending.wanted - now;
-        pending.order.untilDeadline = pending.due - now;
+        pending.sentAt = now;
+        pending.checkAt = now + predicted * resubmitTimeoutFactor + resubmitTimeoutSlack;
+        pending.order.untilObjective = pending.objective - now;
+        pending.order.untilDeadline = pending.deadline - now;
         send.orders.orders.push_back(pending.order);
         const PieceId id = pending.order.id;
         m_pending[id] = std::move(pending);
     }
-    m_sends.push_back(std::move(send));
+    m_orders.push_back(std::move(send));
 }
 
-/// The batcher of \p part; asked for at each order, and found anew where hosts came or went,
-/// or after a moment in which one may have fallen silent.
+/// Returns the batcher of \p part. The choice is cached; it is renewed when the host lists change,
+/// and after batcherCacheTtl, since a batcher may have become unreachable.
 const std::string &PieceRouter::batcherOf(const std::string &part, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     Batcher &batcher = m_batchers[part];
     const std::uint64_t version = m_membership.listsVersion();
-    const bool isOld = now - batcher.foundAt >= batcherLook || batcher.listsVersion != version;
-    if (batcher.host.empty() || isOld) {
+    const bool isStale =
+        now - batcher.selectedAt >= batcherCacheTtl || batcher.listsVersion != version;
+    if (batcher.host.empty() || isStale) {
         batcher = {findBatcher(part, snapshot), now, version};
     }
     return batcher.host;
@@ -124,10 +126,10 @@
     const PoolEntry *entry = snapshot.poolOrPartition(part);
     std::vector<std::string> hosts;
     if (entry != nullptr && !entry->dataCentre.empty()) {
-        hosts = m_membership.likelyLiveWithin(batcherSilence, entry->dataCentre);
+        hosts = m_membership.likelyLiveWithin(batcherTimeout, entry->dataCentre);
     }
     if (hosts.empty()) {
-        hosts = m_membership.likelyLiveWithin(batcherSilence, {});
+        hosts = m_membership.likelyLiveWithin(batcherTimeout, {});
     }
     for (const std::string &host : m_membership.highCapacityHosts(hosts)) {
         const std::uint64_t score = hash64(fmt::format("pieces/{}/{}", part, host));
@@ -165,7 +167,7 @@
     for (const std::string &handle : handles) {
         const auto result = m_results.find(handle);
         if (result == m_results.end()) {
-            continue; // So old that its endpoint has dropped it by itself.
+            continue; // The result has expired at its endpoint.
         }
         PieceFrees &frees = byPart[result->second.part];
         frees.pool = result->second.part;
@@ -177,15 +179,16 @@
     }
 }
 
-void PieceRouter::forgetOldResults()
+void PieceRouter::dropOldResults()
 {
     const TimePoint now = m_clock.now();
     if (now < m_nextSweep) {
         return;
     }
     m_nextSweep = now + sweepInterval;
-    std::erase_if(m_results,
-                  [now](const auto &entry) { return now - entry.second.madeAt > resultMemory; });
+    std::erase_if(m_results, [now](const auto &entry) {
+        return now - entry.second.completedAt > resultRecordTtl;
+    });
 }
 
 void PieceRouter::handle(const PieceOutcomes &outcomes, const Snapshot &snapshot)
@@ -197,94 +200,93 @@
         }
         const auto found = m_pending.find(outcome.id);
         if (found == m_pending.end()) {
-            // Made twice, or no longer wanted.
+            // A duplicate, or the request was cancelled.
             free({outcome.handle}, snapshot);
             continue;
         }
-        const bool isRequests = outcome.fault == PieceFault::None
-                                || outcome.fault == PieceFault::Late
-                                || outcome.fault == PieceFault::InputGone;
-        if (isRequests) {
-            m_done.push_back(outcome);
+        const bool isFinal = outcome.fault == PieceFault::None || outcome.fault == PieceFault::Late
+                             || outcome.fault == PieceFault::InputGone;
+        if (isFinal) {
+            m_outcomes.push_back(outcome);
             m_pending.erase(found);
             continue;
         }
         if (!outcome.endpoint.empty()) {
             found->second.order.avoid = outcome.endpoint;
         }
-        reorder(outcome.id, outcome.fault, snapshot);
+        resubmit(outcome.id, outcome.fault, snapshot);
     }
 }
 
-bool PieceRouter::mayReorder(const Pending &pending, const Snapshot &snapshot)
+bool PieceRouter::mayResubmit(const Pending &pending, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    // Its request is refused with the first outcome that is told.
+    // A quarantined request is refused on the first outcome that is reported.
     const bool isQuarantined =
         snapshot.quarantineLeft(pending.order.digest, m_clock.wallNow()) > Duration::zero();
-    return !isQuarantined && pending.attempts < mostAttempts && now < pending.due
+    return !isQuarantined && pending.attempts < maxAttempts && now < pending.deadline
            && budgetOf(pending.pool).allows(now, m_membership.recentHostCount());
 }
 
-void PieceRouter::reorder(const PieceId &id, PieceFault fault, const Snapshot &snapshot)
+void PieceRouter::resubmit(const PieceId &id, PieceFault fault, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     const auto found = m_pending.find(id);
     Pending pending = std::move(found->second);
     m_pending.erase(found);
-    if (!mayReorder(pending, snapshot)) {
+    if (!mayResubmit(pending, snapshot)) {
         m_pending[id] = std::move(pending);
-        finish(id, fault);
+        reportFault(id, fault);
         return;
     }
     budgetOf(pending.pool).recordRetry(now);
-    ++m_reorders;
+    ++m_resubmissions;
     std::vector<Pending> group;
     group.push_back(std::move(pending));
-    place(std::move(group), snapshot);
+    dispatch(std::move(group), snapshot);
 }
 
-void PieceRouter::finish(const PieceId &id, PieceFault fault)
+void PieceRouter::reportFault(const PieceId &id, PieceFault fault)
 {
     const auto found = m_pending.find(id);
     PieceOutcome outcome;
     outcome.id = id;
     outcome.endpoint = found->second.order.avoid;
     outcome.fault = fault;
-    m_done.push_back(std::move(outcome));
+    m_outcomes.push_back(std::move(outcome));
     m_pending.erase(found);
 }
 
 void PieceRouter::tick(const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    forgetOldResults();
+    dropOldResults();
     std::vector<PieceId> overdue;
     for (const auto &[id, pending] : m_pending) {
-        const bool silent = pending.batcher != m_membership.host()
-                            && now - pending.orderedAt > batcherSilence
-                            && !m_membership.seenWithin(pending.batcher, batcherSilence);
-        if (now >= pending.checkAt || now >= pending.due || silent) {
+        const bool isUnreachable = pending.batcher != m_membership.host()
+                                   && now - pending.sentAt > batcherTimeout
+                                   && !m_membership.seenWithin(pending.batcher, batcherTimeout);
+        if (now >= pending.checkAt || now >= pending.deadline || isUnreachable) {
             overdue.push_back(id);
         }
     }
     for (const PieceId &id : overdue) {
         Pending &pending = m_pending.at(id);
-        if (now >= pending.due) {
-            finish(id, PieceFault::Late);
-        } else if (mayReorder(pending, snapshot)) {
-            reorder(id, PieceFault::Failed, snapshot);
+        if (now >= pending.deadline) {
+            reportFault(id, PieceFault::Late);
+        } else if (mayResubmit(pending, snapshot)) {
+            resubmit(id, PieceFault::Failed, snapshot);
         } else {
-            // Its endpoint may only be slow: nothing says yet that it will not be made.
-            pending.checkAt = now + patience;
-            pending.orderedAt = now;
+            // The endpoint may only be slow, and the piece may still complete.
+            pending.checkAt = now + resubmitTimeoutSlack;
+            pending.sentAt = now;
         }
     }
 }
 
 TimePoint PieceRouter::nextTick() const
 {
-    return m_pending.empty() ? TimePoint::max() : m_clock.now() + checkInterval;
+    return m_pending.empty() ? TimePoint::max() : m_clock.now() + pendingCheckInterval;
 }
 
 } // namespace harelink
--- a/lib/Kernel/pieces.cpp
+++ b/lib/Kernel/pieces.cpp
@@ -1,4 +1,4 @@
-//===- pieces.cpp - Work in pieces ----------------------------------------===//
+//===- pieces.cpp - Batched pieces of work --------------------------------===//
 
 #include "harelink/Kernel/pieces.h"
 
--- a/lib/Kernel/piecetransfers.cpp
+++ b/lib/Kernel/piecetransfers.cpp
@@ -1,13 +1,13 @@
-//===- piecetransfers.cpp - Cost of transfers between data centres ---------===//
+//===- piecetransfers.cpp - Cost of data transfers ------------------------===//
 
 #include "harelink/Kernel/pieces.h"
 
 namespace harelink {
 namespace {
 
-/// What a megabyte of results that crosses data centres counts as, in time: users pay for
-/// it, and a share of a request's worth weighs about as much as its share of its time.
-constexpr std::chrono::microseconds crossingPerMegabyte{20'000};
+/// The time that the transfer of 1 MB between data centres counts as. Users pay for transfers,
+/// and a fraction of a request's worth weighs about as much as that fraction of its time.
+constexpr std::chrono::microseconds transferTimePerMegabyte{20'000};
 constexpr double bytesPerMegabyte = 1e6;
 
 } // namespace
@@ -27,7 +27,7 @@
     if (!transfers.resultsDataCentre.empty() && transfers.resultsDataCentre != dataCentre) {
         bytes += transfers.resultBytes;
     }
-    return std::chrono::duration_cast<Duration>(crossingPerMegabyte
+    return std::chrono::duration_cast<Duration>(transferTimePerMegabyte
                                                 * (static_cast<double>(bytes) / bytesPerMegabyte));
 }
 
--- a/lib/Kernel/resultbufferusage.cpp
+++ b/lib/Kernel/resultbufferusage.cpp
@@ -18,15 +18,15 @@
     return m_results.erase(result);
 }
 
-void ResultBufferUsage::keep(const std::string &handle, BufferedResult result)
+void ResultBufferUsage::add(const std::string &handle, BufferedResult result)
 {
-    drop(handle);
+    remove(handle);
     m_bytes[result.endpoint] += result.bytes;
     m_earliestEnd = std::min(m_earliestEnd, result.until);
     m_results.emplace(handle, std::move(result));
 }
 
-void ResultBufferUsage::drop(const std::string &handle)
+void ResultBufferUsage::remove(const std::string &handle)
 {
     const auto result = m_results.find(handle);
     if (result != m_results.end()) {
@@ -34,7 +34,7 @@
     }
 }
 
-std::vector<std::string> ResultBufferUsage::dropOf(const std::string &host)
+std::vector<std::string> ResultBufferUsage::removeOrderedBy(const std::string &host)
 {
     std::vector<std::string> handles;
     for (auto result = m_results.begin(); result != m_results.end();) {
@@ -48,7 +48,7 @@
     return handles;
 }
 
-void ResultBufferUsage::dropAt(const std::string &endpoint)
+void ResultBufferUsage::removeEndpoint(const std::string &endpoint)
 {
     std::erase_if(m_results,
                   [&endpoint](const auto &entry) { return entry.second.endpoint == endpoint; });
--- a/unittests/Kernel/piecegraphtest.cpp
+++ b/unittests/Kernel/piecegraphtest.cpp
@@ -11,11 +11,11 @@
 const std::vector<PieceStageSpec> sequence = {{"a", {}, 1}, {"b", {0}, 1}, {"c", {1}, 1}};
 const std::vector<PieceStageSpec> branches = {{"a", {}, 1}, {"a", {}, 1}, {"b", {1}, 1}};
 
-void makeAll(PieceGraph &graph, const std::string &prefix)
+void completeReady(PieceGraph &graph, const std::string &prefix)
 {
-    for (const PieceIndex place : graph.scheduleReady()) {
-        graph.markCompleted(place,
-                            prefix + std::to_string(place.stage) + std::to_string(place.piece));
+    for (const PieceIndex index : graph.scheduleReady()) {
+        graph.markCompleted(index,
+                            prefix + std::to_string(index.stage) + std::to_string(index.piece));
     }
 }
 
@@ -44,10 +44,10 @@
     const auto stagesTaken = [](PieceGraph &graph, int ofFirst) {
         using std::chrono::milliseconds;
         std::vector<std::uint32_t> taken;
-        for (const PieceIndex place : graph.scheduleReady({milliseconds(ofFirst), milliseconds(300),
+        for (const PieceIndex index : graph.scheduleReady({milliseconds(ofFirst), milliseconds(300),
                                                            milliseconds(300), milliseconds(300)})) {
-            taken.push_back(place.stage);
-            graph.markCompleted(place, "r");
+            taken.push_back(index.stage);
+            graph.markCompleted(index, "r");
         }
         return taken;
     };
@@ -71,7 +71,7 @@
     LONGS_EQUAL(2, graph.scheduleReady().size());
     graph.markCompleted({0, 0}, "x");
     graph.markCompleted({1, 0}, "y");
-    makeAll(graph, "z");
+    completeReady(graph, "z");
     CHECK(graph.isComplete());
     const std::vector<std::string> results = graph.finalResults();
     LONGS_EQUAL(2, results.size());
@@ -82,12 +82,12 @@
 TEST(PieceGraph, ResultsThatNobodyNeedsAnyMoreAreToldOnce)
 {
     PieceGraph graph(sequence, {2, 1, 1});
-    makeAll(graph, "r");
+    completeReady(graph, "r");
     LONGS_EQUAL(0, graph.releaseUnneeded().size());
-    makeAll(graph, "r");
+    completeReady(graph, "r");
     LONGS_EQUAL(2, graph.releaseUnneeded().size());
     LONGS_EQUAL(0, graph.releaseUnneeded().size());
-    makeAll(graph, "r");
+    completeReady(graph, "r");
     LONGS_EQUAL(2, graph.releaseAll().size());
     LONGS_EQUAL(0, graph.releaseAll().size());
 }
@@ -95,15 +95,15 @@
 TEST(PieceGraph, LostResultsAreMadeAgainWithAllThatTheyCameFrom)
 {
     PieceGraph graph(sequence, {1, 1, 1});
-    makeAll(graph, "r");
-    makeAll(graph, "r");
-    makeAll(graph, "r");
+    completeReady(graph, "r");
+    completeReady(graph, "r");
+    completeReady(graph, "r");
     CHECK(graph.isComplete());
     graph.recomputeFinalResults();
     CHECK_FALSE(graph.isComplete());
-    makeAll(graph, "s");
-    makeAll(graph, "s");
-    makeAll(graph, "s");
+    completeReady(graph, "s");
+    completeReady(graph, "s");
+    completeReady(graph, "s");
     CHECK(graph.isComplete());
     STRCMP_EQUAL("s20", graph.finalResults()[0].c_str());
 }
