--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -1,8 +1,7 @@
 //===- harelink/Kernel/controlmachineimpl.h - Definitions -------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicControlMachine; included only where it is
-/// instantiated.
+/// Definitions of BasicControlMachine. Included only where it is instantiated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,27 +21,28 @@
 
 namespace controlmachine {
 
-/// How often the platform's host list is read by a daemon that has just started: hosts
-/// that start together may each have read it before the others stood in it.
+/// Interval at which a daemon that has just started reads the platform's host list: hosts that
+/// start together may each have read it before the others were listed.
 inline constexpr std::chrono::milliseconds hostListInterval{2000};
-inline constexpr std::chrono::milliseconds startingTime{6000};
-/// A turn that comes later than this after it was due shows that the process stood still.
-inline constexpr std::chrono::milliseconds mostTurnDelay{200};
-/// The same later: heartbeats tell of hosts that come. With 86 daemons the list was 2,500
-/// of 6,200 calls to the platform in 58 s at the shorter interval.
+inline constexpr std::chrono::milliseconds startupPeriod{6000};
+/// A tick that is later than this indicates that the process was suspended.
+inline constexpr std::chrono::milliseconds maxTickDelay{200};
+/// Host list interval after startup, when heartbeats report new hosts. At hostListInterval,
+/// the list made up 2,500 of 6,200 calls of 86 daemons to the platform in 58 s.
 inline constexpr std::chrono::milliseconds settledHostListInterval{8000};
-/// The same where a relay tells of all that live: only relays need the list sooner, to meet.
+/// Host list interval if a relay reports all live hosts. Only relays need the list sooner, to
+/// discover each other.
 inline constexpr std::chrono::milliseconds relayedHostListInterval{60'000};
-/// The same after a failure, and while not a single peer is known.
+/// Host list interval after a failure, and while no peer is known.
 inline constexpr std::chrono::milliseconds firstHostListInterval{500};
-/// How long a daemon that starts waits to hear of those that watch: a relay answers its
-/// first heartbeat within 250 ms, and the host list is read before. Of 300 that started
-/// together each made two watches that nobody needed.
-inline constexpr std::chrono::milliseconds acquaintance{900};
-/// Between two attempts to declare oneself.
+/// After its start a daemon does not watch the platform for this period, until it knows which
+/// daemons do: a relay replies to its first heartbeat within 250 ms, and the host list is read
+/// before. Without it, each of 300 daemons that started together made two needless watches.
+inline constexpr std::chrono::milliseconds watchStartDelay{900};
+/// Interval between attempts of a daemon to declare itself.
 inline constexpr std::chrono::milliseconds announceInterval{300};
-/// How long a start waits at most to learn which endpoints are leaving.
-inline constexpr std::chrono::milliseconds longestLeavingWait{5000};
+/// Maximum time for which a daemon that starts waits to learn which endpoints are leaving.
+inline constexpr std::chrono::milliseconds maxLeavingWait{5000};
 
 } // namespace controlmachine
 
@@ -91,7 +91,7 @@
     const bool receives = m_gossip.shouldWatch()
                               ? std::all_of(m_watchers.begin(), m_watchers.end(), isCurrent)
                               : m_gossip.watcherSeenSince(m_resumedAt);
-    return receives ? nextTick() + controlmachine::mostTurnDelay : TimePoint::min();
+    return receives ? nextTick() + controlmachine::maxTickDelay : TimePoint::min();
 }
 
 template <GuardPolicy G>
@@ -101,8 +101,8 @@
                        [](const auto &watcher) { return watcher.synced(); });
 }
 
-/// Declares this daemon in the platform, where that knows no hosts by itself. Peers
-/// that are told nothing of it hear of it by its heartbeats.
+/// Declares this daemon in the platform if that does not list hosts itself. Peers that do not
+/// read the declaration learn of this daemon by its heartbeats.
 template <GuardPolicy G>
 void BasicControlMachine<G>::announce()
 {
@@ -116,24 +116,24 @@
     call.operation = PlatformOperation::Put;
     call.kind = m_hostKind;
     call.name = m_membership.host();
-    call.ifVersion = m_announcedOver;
+    call.ifVersion = m_announceIfVersion;
     call.value = m_membership.ownDeclaration();
     m_output.calls.push_back(std::move(call));
 }
 
 template <GuardPolicy G>
-bool BasicControlMachine<G>::takeAnnouncement(const PlatformResult &result)
+bool BasicControlMachine<G>::handleAnnouncementResult(const PlatformResult &result)
 {
     if (result.id != m_announceCall) {
         return false;
     }
     m_announceCall = 0;
     const bool isConflict = result.outcome == PlatformOutcome::Conflict;
-    // A host that starts again stands there already, as it was: one call less for each.
+    // A restarted host is already declared; if nothing has changed, that saves a call.
     m_announced = result.outcome == PlatformOutcome::Ok
                   || (isConflict && m_membership.matchesDeclaration(result.value));
     if (isConflict) {
-        m_announcedOver = result.version;
+        m_announceIfVersion = result.version;
         return true;
     }
     m_nextAnnounce = m_clock.now() + controlmachine::announceInterval;
@@ -144,8 +144,8 @@
 ControlOutput BasicControlMachine<G>::drainOutput()
 {
     forwardLedgerReplies();
-    takeCrashes();
-    giveOutConfig();
+    drainCrashWatch();
+    publishConfig();
     for (PeerSend &send : m_router.drainSends()) {
         m_output.sends.push_back(std::move(send));
     }
@@ -160,9 +160,9 @@
     return std::exchange(m_output, {});
 }
 
-/// Hands out what the watch over crashing requests wants.
+/// Moves the actions of the crash watch to the output.
 template <GuardPolicy G>
-void BasicControlMachine<G>::takeCrashes()
+void BasicControlMachine<G>::drainCrashWatch()
 {
     for (PeerSend &send : m_crashes.drainSends()) {
         m_output.sends.push_back(std::move(send));
@@ -170,7 +170,7 @@
     m_output.probes = m_crashes.drainProbes();
     m_output.suspects = m_crashes.drainSuspects();
     m_output.quarantines = m_crashes.drainDecisions();
-    // In force here at once: the platform may be away.
+    // In force here at once, since the platform may be unavailable.
     m_configPending = m_configPending || !m_output.quarantines.empty();
 }
 
@@ -189,7 +189,7 @@
     return all;
 }
 
-/// Where the endpoint is known to have ended, there is no address to ask at.
+/// Adds the address at which the endpoint can be probed, unless it is known to have ended.
 template <GuardPolicy G>
 void BasicControlMachine<G>::handle(BrokenCall call)
 {
@@ -225,7 +225,7 @@
 template <GuardPolicy G>
 void BasicControlMachine<G>::forwardLedgerReplies()
 {
-    // Handing a refused claim on may make the ledger reply again.
+    // Forwarding a refused claim may make the ledger reply again.
     for (auto replies = m_ledger.drainReplies(); !replies.empty();
          replies = m_ledger.drainReplies()) {
         for (const ClaimReply &reply : replies) {
@@ -257,7 +257,7 @@
 void BasicControlMachine<G>::tick()
 {
     const TimePoint now = m_clock.now();
-    if (m_dueAt < now && now - m_dueAt > controlmachine::mostTurnDelay) {
+    if (m_dueAt < now && now - m_dueAt > controlmachine::maxTickDelay) {
         m_resumedAt = now;
     }
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
@@ -278,8 +278,8 @@
     for (const auto &[endpoint, tokens] : m_peerPrompts.changes()) {
         m_output.prompts.push_back({endpoint, tokens});
     }
-    if (m_keepsClaims && m_membership.listsVersion() != m_ownedAtVersion) {
-        m_ownedAtVersion = m_membership.listsVersion();
+    if (m_keepsClaims && m_membership.listsVersion() != m_ownershipVersion) {
+        m_ownershipVersion = m_membership.listsVersion();
         for (std::size_t i = 0; i < claimBucketCount; ++i) {
             m_ledger.setOwned(i,
                               preferredOwner(i, m_membership.candidates()) == m_membership.host());
@@ -302,7 +302,8 @@
     own.prompts = m_prompts;
     own.limits = m_limits.reports(m_clock.now());
     own.configSummary = m_config.summary();
-    // A heartbeat tells whether this daemon watches, a relay's summary whether anybody does.
+    // A heartbeat reports whether this daemon watches the platform, a relay's summary whether
+    // any daemon of its data centre does.
     own.watches = m_gossip.hasWatcher();
     const bool watches = m_gossip.watchesConnected();
     for (PeerSend &send : m_membership.dueHeartbeats(m_relay.targets())) {
@@ -322,12 +323,13 @@
     }
 }
 
-/// Whether \p watcher is to go on. One that has just started lists at once, and watches only
-/// where no other does; what changes meanwhile its first watch brings.
+/// Returns whether \p watcher may call the platform. After a start it lists at once, but watches
+/// only after watchStartDelay, and if it is selected to watch then. The first watch returns what
+/// has changed since the listing.
 template <GuardPolicy G>
 bool BasicControlMachine<G>::mayCall(const BasicConfigWatcher<G> &watcher) const
 {
-    const bool isNew = m_clock.now() < m_startedAt + controlmachine::acquaintance;
+    const bool isNew = m_clock.now() < m_startedAt + controlmachine::watchStartDelay;
     return m_gossip.shouldWatch() && !(isNew && watcher.synced());
 }
 
@@ -337,9 +339,10 @@
     return m_membership.heartbeatsDue();
 }
 
-/// Whether a relay tells this daemon of all that live, so that it needs no list.
+/// Returns whether a relay reports all live hosts to this daemon, so that it does not need the
+/// platform's list.
 template <GuardPolicy G>
-bool BasicControlMachine<G>::isToldOfHosts() const
+bool BasicControlMachine<G>::receivesHostList() const
 {
     return !m_hostKind.empty() && m_relay.isRelayed() && !m_relay.isRelay()
            && !m_membership.livePeers().empty();
@@ -351,7 +354,7 @@
     if (m_hostListCall != 0 || m_clock.now() < m_nextHostList) {
         return;
     }
-    if (m_hostListRead && isToldOfHosts()) {
+    if (m_hostListRead && receivesHostList()) {
         m_nextHostList = m_clock.now() + controlmachine::relayedHostListInterval;
         return;
     }
@@ -369,8 +372,8 @@
     for (const BasicConfigWatcher<G> &watcher : m_watchers) {
         watch = mayCall(watcher) ? std::min(watch, watcher.nextTick()) : watch;
     }
-    if (m_clock.now() < m_startedAt + controlmachine::acquaintance) {
-        watch = std::min<TimePoint>(watch, m_startedAt + controlmachine::acquaintance);
+    if (m_clock.now() < m_startedAt + controlmachine::watchStartDelay) {
+        watch = std::min<TimePoint>(watch, m_startedAt + controlmachine::watchStartDelay);
     }
     if (!m_hostKind.empty() && !m_announced && m_announceCall == 0) {
         watch = std::min(watch, m_nextAnnounce);
@@ -391,11 +394,12 @@
     }
     for (BasicConfigWatcher<G> &watcher : m_watchers) {
         if (watcher.owns(result.id)) {
-            // What a start reads all others read or have: pushed, 3,000 endpoints are 0.9 MB for
-            // each of a hundred hosts, 90 MB that the pusher held and sent for half a minute.
-            const bool isNews = watcher.synced();
+            // The first listing is not pushed, since the others have it or read it themselves.
+            // For 3,000 endpoints and a hundred hosts, a push takes 0.9 MB per host, 90 MB that
+            // the sender holds and transmits for half a minute.
+            const bool isUpdate = watcher.synced();
             m_configPending = watcher.handle(result) || m_configPending;
-            if (isNews) {
+            if (isUpdate) {
                 m_gossip.pushUpdates();
             } else {
                 (void)m_config.drainUpdates();
@@ -403,19 +407,19 @@
             return;
         }
     }
-    if (takeAnnouncement(result) || m_crashes.handle(result)) {
+    if (handleAnnouncementResult(result) || m_crashes.handle(result)) {
         return;
     }
     if (result.id == m_hostListCall) {
         m_hostListCall = 0;
-        takeHostListResult(result);
+        handleHostListResult(result);
         return;
     }
     m_ledger.handle(result);
 }
 
 template <GuardPolicy G>
-void BasicControlMachine<G>::takeHostListResult(const PlatformResult &result)
+void BasicControlMachine<G>::handleHostListResult(const PlatformResult &result)
 {
     m_hostListCall = 0;
     const bool listed = result.outcome == PlatformOutcome::Ok;
@@ -424,17 +428,17 @@
         handleHostList(result.objects);
     }
     const TimePoint now = m_clock.now();
-    // Only where it names the daemons is the list a matter of their meeting; elsewhere it
-    // also says which endpoints are leaving.
+    // The list can be read less often only if it serves to discover daemons and nothing else.
+    // On other platforms it also reports which endpoints are leaving.
     const bool settled =
         !m_hostKind.empty() && !m_membership.livePeers().empty()
-        && (m_relay.isRelayed() || now - m_startedAt > controlmachine::startingTime);
+        && (m_relay.isRelayed() || now - m_startedAt > controlmachine::startupPeriod);
     Duration interval = controlmachine::hostListInterval;
     if (!listed || m_membership.peers().empty()) {
         interval = controlmachine::firstHostListInterval;
     } else if (settled) {
-        interval = isToldOfHosts() ? controlmachine::relayedHostListInterval
-                                   : controlmachine::settledHostListInterval;
+        interval = receivesHostList() ? controlmachine::relayedHostListInterval
+                                      : controlmachine::settledHostListInterval;
     }
     m_nextHostList = now + interval;
 }
@@ -446,10 +450,10 @@
     std::visit([&](const auto &content) { handle(message, content); }, message.content);
 }
 
-/// Takes in what \p source, a daemon or a data centre, told of loads.
+/// Handles the load that \p source, a daemon or a data centre, reported.
 template <GuardPolicy G>
 template <typename Content>
-void BasicControlMachine<G>::takeFigures(const std::string &source, const Content &content)
+void BasicControlMachine<G>::handleLoad(const std::string &source, const Content &content)
 {
     PeerTotals<std::string>::Values prompts;
     for (const PromptBacklog &prompt : content.prompts) {
@@ -470,16 +474,16 @@
     }
     if (m_relay.usesHeartbeatsFrom(content.dataCentre)) {
         m_peerDemand.update(message.host, content.usage);
-        takeFigures(message.host, content);
+        handleLoad(message.host, content);
     }
     m_leavingKnown = m_leavingKnown || content.leavingKnown;
-    takeLimits(content.limits);
+    recordLimitReports(content.limits);
     for (const std::string &endpoint : content.leavingEndpoints) {
-        noteLeaving(endpoint);
+        recordLeaving(endpoint);
     }
 }
 
-/// What a heartbeat or a summary tells of declared objects, as the digest that it replaces.
+/// Returns the digest that corresponds to the configuration state in a heartbeat or summary.
 template <GuardPolicy G>
 ConfigDigest BasicControlMachine<G>::digestOf(std::uint64_t summary, bool watches)
 {
@@ -494,7 +498,7 @@
 {
     const auto sender = m_membership.peers().find(message.host);
     if (sender == m_membership.peers().end()) {
-        return; // A relay that was asked is known.
+        return; // This daemon requests summaries from known relays only.
     }
     const std::string dataCentre = sender->second.dataCentre;
     const bool isLocal = dataCentre == m_membership.dataCentre();
@@ -509,15 +513,15 @@
     m_gossip.handle(message.host, digestOf(content.configSummary, content.hasWatcher));
     if (m_relay.usesSummariesFrom(dataCentre)) {
         const std::string source = "summary of " + dataCentre;
-        takeFigures(source, content);
+        handleLoad(source, content);
         if (content.hasUsage) {
             m_peerDemand.updateFromSummary(source, content.usage);
         }
     }
     m_leavingKnown = m_leavingKnown || content.leavingKnown;
-    takeLimits(content.limits);
+    recordLimitReports(content.limits);
     for (const std::string &endpoint : content.leavingEndpoints) {
-        noteLeaving(endpoint);
+        recordLeaving(endpoint);
     }
 }
 
@@ -531,7 +535,7 @@
 void BasicControlMachine<G>::handle(const PeerMessage &message, const ClaimDecision &content)
 {
     (void)message;
-    // A decision for the incarnation before this one is nobody's.
+    // Drops decisions for a previous incarnation of this daemon.
     if (content.claimant.incarnation == m_membership.incarnation()) {
         m_router.handleDecision(content, true);
     }
@@ -594,15 +598,15 @@
         const nlohmann::json value = nlohmann::json::parse(host.value, nullptr, false);
         const auto state = value.find("state");
         if (state != value.end() && *state == "leaving") {
-            noteLeaving(host.name);
+            recordLeaving(host.name);
         }
     }
 }
 
-/// An endpoint that leaves never comes back by an older message; only a newer
-/// declaration of it makes it an endpoint again.
+/// Records that \p endpoint is leaving. Older messages never revert this; only a newer
+/// declaration of the endpoint makes it usable again.
 template <GuardPolicy G>
-void BasicControlMachine<G>::noteLeaving(const std::string &endpoint)
+void BasicControlMachine<G>::recordLeaving(const std::string &endpoint)
 {
     const ConfigEntry *declared = m_config.endpoint(endpoint);
     if (!G::avoidsLeaving || m_config.hasEnded(endpoint)) {
@@ -629,9 +633,9 @@
     }
 }
 
-/// Records what a peer tells of rate limits of declared endpoints.
+/// Records a peer's reports of rate limits of declared endpoints.
 template <GuardPolicy G>
-void BasicControlMachine<G>::takeLimits(const std::vector<EndpointLimitReport> &reports)
+void BasicControlMachine<G>::recordLimitReports(const std::vector<EndpointLimitReport> &reports)
 {
     const TimePoint now = m_clock.now();
     for (const EndpointLimitReport &report : reports) {
@@ -642,22 +646,22 @@
     }
 }
 
-/// Whether every group of kinds has been listed, or peers have told of it. The endpoints
-/// alone are no configuration: with only them a daemon that had just started answered
-/// requests that every version allows with 404.
+/// Returns whether every group of kinds has been listed, or received from peers. Endpoints alone
+/// are not a complete configuration: with only them, a daemon that had just started responded
+/// with 404 to requests that all versions of the configuration allowed.
 template <GuardPolicy G>
-bool BasicControlMachine<G>::knowsAllKinds() const
+bool BasicControlMachine<G>::hasAllKinds() const
 {
     return std::all_of(m_watchers.begin(), m_watchers.end(),
-                       [this](const auto &watcher) { return knowsKindsOf(watcher); });
+                       [this](const auto &watcher) { return hasKindsOf(watcher); });
 }
 
-/// Whether what \p watcher follows has been listed, or a peer has told of it. Of quarantines
-/// and drains there are none most of the time, and then no peer tells of any. Quarantines are
-/// not waited for; drains are, until the platform fails to tell: a host that has just started
-/// would send work to a data centre that is drained.
+/// Returns whether the kinds that \p watcher follows have been listed, or received from peers.
+/// Usually there are no quarantines and drains, so peers have none to send. A start does not
+/// wait for quarantines. It does wait for drains, unless the platform is unavailable, since it
+/// would otherwise send work to a drained data centre.
 template <GuardPolicy G>
-bool BasicControlMachine<G>::knowsKindsOf(const BasicConfigWatcher<G> &watcher) const
+bool BasicControlMachine<G>::hasKindsOf(const BasicConfigWatcher<G> &watcher) const
 {
     const ObjectReader &reader = m_config.reader();
     if (watcher.synced() || watcher.followsOnly(reader.quarantineKind())) {
@@ -675,7 +679,7 @@
 template <GuardPolicy G>
 RateShares BasicControlMachine<G>::rateShares() const
 {
-    if (m_clock.now() - m_startedAt < controlmachine::startingTime) {
+    if (m_clock.now() - m_startedAt < controlmachine::startupPeriod) {
         return {};
     }
     return {m_membership.host(), m_membership.peers().size() + 1,
@@ -685,29 +689,30 @@
 template <GuardPolicy G>
 ColdShares BasicControlMachine<G>::coldShares() const
 {
-    if (m_clock.now() - m_startedAt < controlmachine::startingTime) {
+    if (m_clock.now() - m_startedAt < controlmachine::startupPeriod) {
         return {};
     }
     return {m_membership.host(), m_membership.peers().size() + 1};
 }
 
-/// Puts the configuration in force. A daemon that just started first learns
-/// which endpoints are leaving, or it would send them work. Later nothing holds news back.
+/// Reports a pending change of the configuration in the output. After its start a daemon first
+/// waits to learn which endpoints are leaving, to not send them work. Later changes are
+/// published at once.
 template <GuardPolicy G>
-void BasicControlMachine<G>::giveOutConfig()
+void BasicControlMachine<G>::publishConfig()
 {
-    const bool waited = m_clock.now() - m_startedAt > controlmachine::longestLeavingWait;
-    const bool mayBegin = knowsAllKinds() && (m_leavingKnown || waited);
-    if (!m_configPending || !(m_isConfigOut || mayBegin)) {
+    const bool isTimedOut = m_clock.now() - m_startedAt > controlmachine::maxLeavingWait;
+    const bool mayBegin = hasAllKinds() && (m_leavingKnown || isTimedOut);
+    if (!m_configPending || !(m_isConfigPublished || mayBegin)) {
         return;
     }
-    m_isConfigOut = true;
+    m_isConfigPublished = true;
     m_configPending = false;
     m_output.configChanged = true;
     m_limits.keepOnly(
         [this](const std::string &endpoint) { return m_config.endpoint(endpoint) != nullptr; });
     for (const std::string &endpoint : std::exchange(m_undeclaredLeaving, {})) {
-        noteLeaving(endpoint);
+        recordLeaving(endpoint);
     }
 }
 
--- a/lib/Kernel/controlmachine.cpp
+++ b/lib/Kernel/controlmachine.cpp
@@ -1,4 +1,4 @@
-//===- controlmachine.cpp - The product's control -------------------------===//
+//===- controlmachine.cpp - Control plane instantiation -------------------===//
 
 #include "harelink/Kernel/controlmachineimpl.h"
 
