--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/configmachineimpl.h - Definitions ----------*- C++ -*-===//
+//===- harelink/Kernel/configmachineimpl.h - Definitions --------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicConfigTable and BasicConfigWatcher; included only
-/// where they are instantiated.
+/// Definitions of BasicConfigTable and BasicConfigWatcher. Included only where they
+/// are instantiated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,70 +25,71 @@
 namespace configwatcher {
 
 inline constexpr std::chrono::milliseconds firstBackOff{100};
-inline constexpr std::chrono::milliseconds longestBackOff{1000};
-/// How long the platform may hold a watch open. A watch may have gone silent while news
-/// came, as when the platform forgets its history; that is noticed when this is over. At
-/// 10 s a daemon used a key 4.6 s after it was taken away; at 1 s, nine daemons made 18
-/// calls a second for nothing else.
+inline constexpr std::chrono::milliseconds maxBackOff{1000};
+/// The period for which the platform may hold a watch open. A watch may miss updates, for
+/// example when the platform loses its history, which is detected only after this period. At
+/// 10 s a daemon used a key 4.6 s after it was revoked; at 1 s nine daemons made 18 calls per
+/// second for this purpose alone.
 inline constexpr std::chrono::milliseconds watchWait{2200};
-/// The same where requests under quarantine are all that is watched. They change once in
-/// days, so its watches are as few as can be; a silent one is made up for by the peers'
-/// digests within some seconds.
+/// The same for a watch of quarantines only. They change every few days, so the number of
+/// watches is kept low; updates that such a watch misses arrive by the digests of peers within
+/// seconds.
 inline constexpr std::chrono::milliseconds quarantineWatchWait{10'000};
 
-/// The same where drains of data centres are all that is watched. They change seldom, and have
-/// to be in force within five seconds: with the 0.8 s that a call is waited for beyond it, one
-/// that fell silent is noticed in 4.3 s.
+/// The same for a watch of data centre drains only. They change rarely, and must be in force
+/// within 5 s: with the 0.8 s by which the timeout of a call exceeds this period, a watch that
+/// misses updates is detected within 4.3 s.
 inline constexpr std::chrono::milliseconds drainWatchWait{3500};
 
-/// Between a watch with news and the next one: what comes meanwhile comes together. Of a
-/// fleet whose endpoints start, 24 watchers made 2,900 calls in 5 s without it. It is a
-/// small part of the seconds in which news have to be in force.
-inline constexpr std::chrono::milliseconds newsPause{150};
+/// Pause between a watch that returned updates and the next one, so that further updates arrive
+/// together. Without it, 24 watchers made 2,900 calls in 5 s while the endpoints of a fleet
+/// started. It is short compared to the seconds within which updates must be in force.
+inline constexpr std::chrono::milliseconds updatePause{150};
 
-/// Between a watch without news and the next one.
+/// Pause between a watch without updates and the next one.
 inline constexpr std::chrono::milliseconds emptyWatchPause{50};
 
-/// From when the platform answers again, an endpoint that is missing is waited for this
-/// long: those that live declare themselves anew within two seconds. It is counted from the
-/// first answer and not from the last failure, for a call may hang through the outage.
-inline constexpr std::chrono::milliseconds lapseAllowance{2300};
+/// When the platform answers again after an outage, endpoints that are missing stay in force for
+/// this period: live endpoints declare themselves again within 2 s. The period starts at the
+/// first answer and not at the last failure, since a call may hang during the whole outage.
+inline constexpr std::chrono::milliseconds lapseGracePeriod{2300};
 
 } // namespace configwatcher
 
 template <GuardPolicy G>
-bool BasicConfigTable<G>::apply(const PlatformObject &news)
+bool BasicConfigTable<G>::apply(const PlatformObject &update)
 {
-    const Key key(news.kind, news.name);
+    const Key key(update.kind, update.name);
     const auto [found, isNew] = m_entries.try_emplace(key);
     ConfigEntry &entry = found->second;
     if (isNew) {
         m_summary += hashOf(key, entry.seen);
     }
-    if (G::dropsStaleUpdates && news.version <= entry.seen) {
-        m_droppedUpdates += news.version < entry.seen ? 1 : 0;
+    if (G::dropsStaleUpdates && update.version <= entry.seen) {
+        m_droppedUpdates += update.version < entry.seen ? 1 : 0;
         return false;
     }
-    m_summary += hashOf(key, news.version) - hashOf(key, entry.seen);
-    entry.seen = news.version;
-    entry.deleted = news.deleted;
-    entry.value = news.value;
+    m_summary += hashOf(key, update.version) - hashOf(key, entry.seen);
+    entry.seen = update.version;
+    entry.deleted = update.deleted;
+    entry.value = update.value;
     const std::string faultBefore = std::exchange(entry.fault, {});
-    m_news.push_back(news);
-    if (news.deleted) {
+    m_updates.push_back(update);
+    if (update.deleted) {
         return applyDeletion(entry);
     }
-    absl::StatusOr<std::vector<Resource>> read = m_reader.read(news.kind, news.name, news.value);
+    absl::StatusOr<std::vector<Resource>> read =
+        m_reader.read(update.kind, update.name, update.value);
     if (!read.ok()) {
-        return applyFault(news, entry, errorMessage(read.status()), faultBefore);
+        return applyFault(update, entry, errorMessage(read.status()), faultBefore);
     }
-    if (!takeLife(news, entry, *read)) {
+    if (!recordIncarnation(update, entry, *read)) {
         return false;
     }
-    assert((!G::dropsStaleUpdates || news.version > entry.inForce)
-           && "a version in force only rises");
+    assert((!G::dropsStaleUpdates || update.version > entry.inForce)
+           && "the version in force must only increase");
     entry.resources = *std::move(read);
-    entry.inForce = news.version;
+    entry.inForce = update.version;
     return true;
 }
 
@@ -101,45 +102,47 @@
     return changed;
 }
 
-/// Of what operators declare the last good version stays in force. An endpoint declares
-/// itself: what cannot be read there is another writer's, and names no endpoint.
+/// The last valid version stays in force for objects that operators declare. Endpoints declare
+/// themselves: an object that cannot be read is not an endpoint's but another writer's, so no
+/// endpoint stays in force.
 template <GuardPolicy G>
-bool BasicConfigTable<G>::applyFault(const PlatformObject &news, ConfigEntry &entry,
+bool BasicConfigTable<G>::applyFault(const PlatformObject &update, ConfigEntry &entry,
                                      std::string fault, const std::string &faultBefore)
 {
     ++m_unreadable;
-    const bool isEndpoint = news.kind == m_reader.endpointKind();
+    const bool isEndpoint = update.kind == m_reader.endpointKind();
     const bool changed = isEndpoint && !entry.resources.empty();
     if (isEndpoint) {
         entry.resources.clear();
     }
     if (fault != faultBefore) {
-        m_faults.push_back({news.kind, news.name, news.version, fault, !entry.resources.empty()});
+        m_faults.push_back(
+            {update.kind, update.name, update.version, fault, !entry.resources.empty()});
     }
     entry.fault = std::move(fault);
     return changed;
 }
 
-/// Notes which life of an endpoint \p read is of. False where a newer one has been seen: a
-/// write of the one before it may be done late, and must not bring it back.
+/// Records the incarnation of the endpoint in \p read, if it is one. Returns false if a newer
+/// incarnation has been seen: a delayed write of an older one must not restore it.
 template <GuardPolicy G>
-bool BasicConfigTable<G>::takeLife(const PlatformObject &news, ConfigEntry &entry,
-                                   const std::vector<Resource> &read)
+bool BasicConfigTable<G>::recordIncarnation(const PlatformObject &update, ConfigEntry &entry,
+                                            const std::vector<Resource> &read)
 {
-    const auto *life = read.empty() ? nullptr : std::get_if<EndpointSpec>(&read.front().spec);
-    if (life == nullptr) {
+    const auto *spec = read.empty() ? nullptr : std::get_if<EndpointSpec>(&read.front().spec);
+    if (spec == nullptr) {
         return true;
     }
-    if (G::dropsStaleUpdates && life->startedAt < entry.latestStartedAt) {
-        entry.fault = fmt::format("{} has started again since", life->name);
+    if (G::dropsStaleUpdates && spec->startedAt < entry.latestStartedAt) {
+        entry.fault = fmt::format("{} has started again since", spec->name);
         m_faults.push_back(
-            {news.kind, news.name, news.version, entry.fault, !entry.resources.empty()});
+            {update.kind, update.name, update.version, entry.fault, !entry.resources.empty()});
         return false;
     }
-    entry.latestStartedAt = life->startedAt;
-    m_objectsByEndpoint[life->name] = news.name;
-    if (!entry.resources.empty() && entry.resources.front().name != life->name) {
-        m_ended.push_back(entry.resources.front().name);
+    entry.latestStartedAt = spec->startedAt;
+    m_objectsByEndpoint[spec->name] = update.name;
+    if (!entry.resources.empty() && entry.resources.front().name != spec->name) {
+        m_endedEndpoints.push_back(entry.resources.front().name);
     }
     return true;
 }
@@ -233,8 +236,8 @@
     : m_clock(clock)
     , m_table(table)
     , m_kinds(std::move(kinds))
-    , m_regainedAt(TimePoint::min())
-    , m_notBefore(clock.now())
+    , m_reconnectedAt(TimePoint::min())
+    , m_nextCall(clock.now())
     , m_backOff(configwatcher::firstBackOff)
 {
 }
@@ -242,9 +245,9 @@
 template <GuardPolicy G>
 TimePoint BasicConfigWatcher<G>::nextTick() const
 {
-    const TimePoint call = m_callId == 0 ? m_notBefore : TimePoint::max();
-    const bool waits = !m_held.empty() && !m_away;
-    return waits ? std::min(call, m_regainedAt + configwatcher::lapseAllowance) : call;
+    const TimePoint call = m_callId == 0 ? m_nextCall : TimePoint::max();
+    const bool hasDelayed = !m_delayedDeletions.empty() && !m_isPlatformUnreachable;
+    return hasDelayed ? std::min(call, m_reconnectedAt + configwatcher::lapseGracePeriod) : call;
 }
 
 template <GuardPolicy G>
@@ -260,17 +263,17 @@
 template <GuardPolicy G>
 void BasicConfigWatcher<G>::tick(std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
-    if (m_callId != 0 || m_clock.now() < m_notBefore) {
+    if (m_callId != 0 || m_clock.now() < m_nextCall) {
         return;
     }
     m_callId = nextCallId++;
-    m_askedAt = m_clock.now();
-    m_listing = m_listNext;
+    m_callMadeAt = m_clock.now();
+    m_listing = m_mustList;
     PlatformCall call;
     call.id = m_callId;
     call.operation = m_listing ? PlatformOperation::List : PlatformOperation::Watch;
     call.kind = fmt::format("{}", fmt::join(m_kinds, ","));
-    call.name = m_listing ? m_continueAfter : std::string();
+    call.name = m_listing ? m_lastListedName : std::string();
     call.since = m_since;
     call.wait = watchWait();
     calls.push_back(std::move(call));
@@ -282,9 +285,9 @@
     m_callId = 0;
     m_connected =
         result.outcome != PlatformOutcome::Refused && result.outcome != PlatformOutcome::Unanswered;
-    m_heardAt = m_connected ? m_askedAt : m_heardAt;
+    m_answeredCallMadeAt = m_connected ? m_callMadeAt : m_answeredCallMadeAt;
     if (result.outcome == PlatformOutcome::Gone) {
-        m_listNext = true;
+        m_mustList = true;
         return false;
     }
     if (result.outcome != PlatformOutcome::Ok) {
@@ -295,40 +298,40 @@
     recordPlatformAnswer(true);
     m_backOff = configwatcher::firstBackOff;
     if (m_listing && result.more && result.objects.empty()) {
-        // There is no name to go on behind, and from the beginning it would come again.
+        // There is no name to continue from, and a restarted listing could do the same again.
         backOff();
         return false;
     }
     if (m_listing && result.more) {
         m_listed.insert(m_listed.end(), result.objects.begin(), result.objects.end());
-        m_continueAfter = result.objects.empty() ? std::string() : result.objects.back().name;
+        m_lastListedName = result.objects.empty() ? std::string() : result.objects.back().name;
         return false;
     }
     bool changed = false;
     if (m_listing) {
-        changed = takeListing(result);
+        changed = handleListing(result);
     } else {
-        // Each watch is a call that the platform counts: one that ends early and
-        // without news must not turn into a storm of them.
-        m_notBefore =
-            m_clock.now()
-            + (result.objects.empty() ? configwatcher::emptyWatchPause : configwatcher::newsPause);
+        // The platform counts each watch as a call, so watches that end early without updates
+        // must not cause a flood of calls.
+        m_nextCall = m_clock.now()
+                     + (result.objects.empty() ? configwatcher::emptyWatchPause
+                                               : configwatcher::updatePause);
         for (const PlatformObject &object : result.objects) {
-            changed = take(object) || changed;
+            changed = handleUpdate(object) || changed;
         }
     }
-    m_listNext = false;
+    m_mustList = false;
     m_since = std::max(m_since, result.version);
     return changed;
 }
 
 template <GuardPolicy G>
-bool BasicConfigWatcher<G>::takeListing(const PlatformResult &result)
+bool BasicConfigWatcher<G>::handleListing(const PlatformResult &result)
 {
     m_listed.insert(m_listed.end(), result.objects.begin(), result.objects.end());
     const std::vector<PlatformObject> objects = std::exchange(m_listed, {});
-    m_continueAfter.clear();
-    // An empty listing is a configuration too: the daemon becomes ready with it.
+    m_lastListedName.clear();
+    // An empty listing is a configuration too, with which the daemon becomes ready.
     bool changed = !m_synced;
     m_synced = true;
     for (const PlatformObject &object : objects) {
@@ -336,50 +339,52 @@
     }
     for (const PlatformObject &deletion :
          m_table.impliedDeletions(objects, result.version, m_kinds)) {
-        changed = take(deletion) || changed;
+        changed = handleUpdate(deletion) || changed;
     }
     return changed;
 }
 
 template <GuardPolicy G>
-bool BasicConfigWatcher<G>::take(const PlatformObject &news)
+bool BasicConfigWatcher<G>::handleUpdate(const PlatformObject &update)
 {
-    if (holdsBack(news)) {
-        m_held[news.name] = news;
+    if (mustDelay(update)) {
+        m_delayedDeletions[update.name] = update;
         return false;
     }
-    return m_table.apply(news);
+    return m_table.apply(update);
 }
 
 template <GuardPolicy G>
-bool BasicConfigWatcher<G>::holdsBack(const PlatformObject &news) const
+bool BasicConfigWatcher<G>::mustDelay(const PlatformObject &update) const
 {
     const ObjectReader &reader = m_table.reader();
     const bool mayHaveLapsed =
-        news.deleted && reader.endpointsLapse() && news.kind == reader.endpointKind();
-    const bool justRegained = m_regainedAt != TimePoint::min()
-                              && m_clock.now() - m_regainedAt < configwatcher::lapseAllowance;
-    return mayHaveLapsed && (m_away || justRegained);
+        update.deleted && reader.endpointsLapse() && update.kind == reader.endpointKind();
+    const bool justReconnected =
+        m_reconnectedAt != TimePoint::min()
+        && m_clock.now() - m_reconnectedAt < configwatcher::lapseGracePeriod;
+    return mayHaveLapsed && (m_isPlatformUnreachable || justReconnected);
 }
 
 template <GuardPolicy G>
 void BasicConfigWatcher<G>::recordPlatformAnswer(bool answered)
 {
-    if (answered && m_away) {
-        m_regainedAt = m_clock.now();
+    if (answered && m_isPlatformUnreachable) {
+        m_reconnectedAt = m_clock.now();
     }
-    m_away = !answered;
+    m_isPlatformUnreachable = !answered;
 }
 
 template <GuardPolicy G>
 bool BasicConfigWatcher<G>::applyDelayedDeletions()
 {
-    if (m_held.empty() || m_away || m_clock.now() - m_regainedAt < configwatcher::lapseAllowance) {
+    if (m_delayedDeletions.empty() || m_isPlatformUnreachable
+        || m_clock.now() - m_reconnectedAt < configwatcher::lapseGracePeriod) {
         return false;
     }
     bool changed = false;
-    for (const auto &[name, deletion] : std::exchange(m_held, {})) {
-        // One that was declared anew has a higher version by now and stays.
+    for (const auto &[name, deletion] : std::exchange(m_delayedDeletions, {})) {
+        // An endpoint that was declared again has a higher version, so it stays.
         changed = m_table.apply(deletion) || changed;
     }
     return changed;
@@ -388,8 +393,8 @@
 template <GuardPolicy G>
 void BasicConfigWatcher<G>::backOff()
 {
-    m_notBefore = m_clock.now() + m_backOff;
-    m_backOff = std::min<Duration>(m_backOff * 2, configwatcher::longestBackOff);
+    m_nextCall = m_clock.now() + m_backOff;
+    m_backOff = std::min<Duration>(m_backOff * 2, configwatcher::maxBackOff);
 }
 
 } // namespace harelink
--- a/lib/Kernel/configmachine.cpp
+++ b/lib/Kernel/configmachine.cpp
@@ -1,4 +1,4 @@
-//===- configmachine.cpp - The product's configuration --------------------===//
+//===- configmachine.cpp - Configuration instantiation --------------------===//
 
 #include "harelink/Kernel/configmachineimpl.h"
 
