--- a/include/harelink/Kernel/configgossip.h
+++ b/include/harelink/Kernel/configgossip.h
@@ -1,14 +1,16 @@
-//===- harelink/Kernel/configgossip.h - Spread of configuration -*- C++ -*-===//
+//===- harelink/Kernel/configgossip.h - Configuration gossip ----*- C++ -*-===//
 ///
 /// \file
-/// Decides who watches the platform and passes news on to the others.
+/// Selects the daemons that watch the platform, and distributes configuration updates
+/// among daemons.
 ///
-/// In each data centre a few daemons watch, able hosts first. The first two of them push
-/// what changes to the others of their data centre; the rest tell at once a hash over
-/// their versions, by which a daemon notices that a push did not come. Besides, every
-/// daemon compares hashes with one peer each second, a watcher with all of its data
-/// centre, and both make up for what they lack. A daemon that hears of no watcher to which the
-/// platform answers watches for itself.
+/// In each data centre a few daemons watch the platform, preferably on high-capacity hosts.
+/// The first two of them push changes to the other daemons of their data centre. The other
+/// watchers immediately send a digest, a hash over the versions that they have seen, by
+/// which a receiver detects a lost push. In addition, each second every daemon exchanges
+/// digests with one peer, and a watcher with all peers of its data centre; both sides then
+/// send each other what is missing. A daemon that receives from no watcher to which the
+/// platform answers watches the platform itself.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,38 +27,40 @@
 
 namespace harelink {
 
-/// The spread of configuration at one daemon.
+/// The configuration gossip of one daemon.
 template <GuardPolicy G>
 class BasicConfigGossip
 {
 public:
-    /// All references outlive the gossip.
-    /// \param watchers how many daemons of a data centre watch the platform.
+    /// All references must outlive the gossip.
+    ///
+    /// \param watchers the number of daemons per data centre that watch the platform.
     BasicConfigGossip(const Clock &clock, const Membership &membership, BasicConfigTable<G> &table,
                       std::size_t watchers);
 
-    /// Whether this daemon is to watch the platform now.
+    /// Returns whether this daemon shall watch the platform now.
     [[nodiscard]] bool shouldWatch() const;
-    /// Takes in whether the platform answers this daemon.
+    /// Sets whether the platform answers this daemon.
     void setConnected(bool connected) { m_connected = connected; }
-    /// Takes in whether heartbeats go through relays. What digests tell then rides in them,
-    /// and in the relays' summaries: watchers that told all of their data centre each second
-    /// sent a third of all messages of 300 daemons.
+    /// Sets whether heartbeats go through relays. If so, heartbeats and the relays' summaries
+    /// carry the contents of digests: with 300 daemons, a third of all messages were digests that
+    /// watchers sent to their data centre each second.
     void setRelayed(bool isRelayed) { m_isRelayed = isRelayed; }
-    /// Whether this daemon watches and the platform answers it.
+    /// Returns whether this daemon watches the platform and the platform answers it.
     [[nodiscard]] bool watchesConnected() const { return m_connected && shouldWatch(); }
-    /// Whether this daemon, or one of its data centre that it heard of lately, does.
+    /// Returns whether this is true of this daemon, or was recently reported by one of its data
+    /// centre.
     [[nodiscard]] bool hasWatcher() const { return watchesConnected() || hasRecentWatcher(); }
-    /// Whether one of this daemon's data centre said at \p time or later that it does.
+    /// Returns whether a daemon of this data centre reported it at \p time or later.
     [[nodiscard]] bool watcherSeenSince(TimePoint time) const
     {
-        return hasRecentWatcher() && m_watcherHeard >= time;
+        return hasRecentWatcher() && m_watcherSeenAt >= time;
     }
-    /// Pushes what the table learnt from the platform.
+    /// Pushes the updates that the table got from the platform.
     void pushUpdates();
-    /// Takes in a peer's news; true where what is in force changed.
+    /// Applies updates from a peer. Returns true if the configuration in force changed.
     bool handle(const ConfigPush &push);
-    /// Takes in a peer's digest.
+    /// Handles a digest of the peer \p host.
     void handle(const std::string &host, const ConfigDigest &digest);
     /// Sends the digests that are due.
     void tick();
@@ -65,14 +69,14 @@
 
 private:
     [[nodiscard]] bool hasRecentWatcher() const;
-    [[nodiscard]] Duration differencePatience() const;
+    [[nodiscard]] Duration differenceDelay() const;
     void send(const std::string &host, decltype(PeerMessage::content) content);
     [[nodiscard]] ConfigDigest digest(bool detailed, bool reply) const;
     [[nodiscard]] std::size_t watcherRank() const;
-    [[nodiscard]] std::size_t findWatcherRank() const;
-    void noteSummary(const std::string &host, std::uint64_t summary);
-    void forgetMatching();
-    void askWhereDue();
+    [[nodiscard]] std::size_t computeWatcherRank() const;
+    void recordSummary(const std::string &host, std::uint64_t summary);
+    void removeMatching();
+    void requestDueVersions();
     void sendDigestToAll(const std::vector<std::string> &hosts);
     [[nodiscard]] std::vector<std::string> localPeers() const;
 
@@ -81,18 +85,18 @@
     BasicConfigTable<G> &m_table;
     std::size_t m_watchers;
     TimePoint m_nextDigest;
-    TimePoint m_watcherHeard;
+    TimePoint m_watcherSeenAt;
     bool m_connected = false;
     bool m_isRelayed = false;
-    mutable std::size_t m_rank = 0; ///< As of the lists of hosts of that version.
+    mutable std::size_t m_rank = 0; ///< As of version m_rankedAtVersion of the host lists.
     mutable std::uint64_t m_rankedAtVersion = 0;
-    /// A peer's hash that differs from the own one.
+    /// A peer whose hash differs from this daemon's.
     struct Difference
     {
         std::uint64_t summary = 0;
-        TimePoint askAt;
+        TimePoint requestAt;
     };
-    std::map<std::string, Difference> m_differing; ///< By host.
+    std::map<std::string, Difference> m_differences; ///< By host.
     std::uint64_t m_round = 0;
     std::vector<PeerSend> m_sends;
 };
--- a/include/harelink/Kernel/configgossipimpl.h
+++ b/include/harelink/Kernel/configgossipimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/configgossipimpl.h - Definitions ---------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicConfigGossip; included only where it is instantiated.
+/// Definitions of BasicConfigGossip. Included only where it is instantiated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,18 +17,19 @@
 namespace configgossip {
 
 inline constexpr std::chrono::milliseconds digestInterval{1000};
-/// Without a word of a watcher for this long a daemon watches for itself.
-inline constexpr std::chrono::milliseconds watcherSilence{2500};
-/// Every so many rounds the digest goes to another data centre.
-inline constexpr std::uint64_t remoteRound = 3;
-/// Watchers of a data centre that push; the others' digests make up for a loss of both.
-inline constexpr std::size_t pushers = 2;
-/// A difference is asked about when it has lasted for this long: until then the pushes
-/// are on their way, and a whole configuration takes a slow link 0.3 s.
-inline constexpr std::chrono::milliseconds differencePatience{500};
-/// The same where hashes ride in heartbeats: two of them from a host that tells at every
-/// second. At 500 ms a change made 540 of 300 daemons ask for versions, all for nothing.
-inline constexpr std::chrono::milliseconds relayedDifferencePatience{1200};
+/// A daemon that receives nothing from a watcher for this period watches the platform itself.
+inline constexpr std::chrono::milliseconds watcherTimeout{2500};
+/// In rounds: the interval at which a digest is sent to another data centre.
+inline constexpr std::uint64_t remoteRoundInterval = 3;
+/// Watchers per data centre that push; the digests of the others compensate for a loss of both
+/// pushes.
+inline constexpr std::size_t pusherCount = 2;
+/// Versions are requested from a peer when its hash has differed for this period. Before, pushes
+/// may still be in transit: a complete configuration takes 0.3 s on a slow link.
+inline constexpr std::chrono::milliseconds differenceDelay{500};
+/// The same if heartbeats carry the hashes: two heartbeats of a host that sends them at every
+/// second interval. At 500 ms each change caused 540 needless version requests among 300 daemons.
+inline constexpr std::chrono::milliseconds relayedDifferenceDelay{1200};
 
 } // namespace configgossip
 
@@ -40,28 +41,28 @@
     , m_table(table)
     , m_watchers(watchers)
     , m_nextDigest(clock.now())
-    , m_watcherHeard(TimePoint::min())
+    , m_watcherSeenAt(TimePoint::min())
 {
 }
 
-/// This daemon's place among those that may watch, from 0; able hosts come first.
+/// Returns this daemon's rank among those that may watch, from 0; high-capacity hosts are first.
 template <GuardPolicy G>
 std::size_t BasicConfigGossip<G>::watcherRank() const
 {
     const std::uint64_t version = m_membership.listsVersion();
     if (version != m_rankedAtVersion) {
-        m_rank = findWatcherRank();
+        m_rank = computeWatcherRank();
         m_rankedAtVersion = version;
     }
     return m_rank;
 }
 
 template <GuardPolicy G>
-std::size_t BasicConfigGossip<G>::findWatcherRank() const
+std::size_t BasicConfigGossip<G>::computeWatcherRank() const
 {
     std::vector<std::string> hosts = m_membership.localCandidates();
     const std::string &self = m_membership.host();
-    // One that leaves is not among them, and watches on in its place.
+    // A host that is leaving is not in the list, but keeps its rank until it stops.
     if (!std::binary_search(hosts.begin(), hosts.end(), self)) {
         hosts.push_back(self);
     }
@@ -72,37 +73,37 @@
 template <GuardPolicy G>
 bool BasicConfigGossip<G>::hasRecentWatcher() const
 {
-    return m_watcherHeard != TimePoint::min()
-           && m_clock.now() - m_watcherHeard <= configgossip::watcherSilence;
+    return m_watcherSeenAt != TimePoint::min()
+           && m_clock.now() - m_watcherSeenAt <= configgossip::watcherTimeout;
 }
 
-/// While nobody is heard of that watches, as many more do, after spans that double: one that
-/// cannot reach the platform is soon made up for, and a platform that answers nobody is not
-/// asked by all.
+/// While no watcher is known, the number of daemons that watch grows by another group of
+/// m_watchers after periods that double. Watchers that cannot reach the platform are thus
+/// replaced soon, and a platform that answers no daemon is not called by all of them.
 template <GuardPolicy G>
 bool BasicConfigGossip<G>::shouldWatch() const
 {
-    if (m_watcherHeard == TimePoint::min()) {
+    if (m_watcherSeenAt == TimePoint::min()) {
         return true;
     }
-    const Duration silence = m_clock.now() - m_watcherHeard;
+    const Duration elapsed = m_clock.now() - m_watcherSeenAt;
     std::size_t groups = 1;
-    for (Duration end = configgossip::watcherSilence;
-         silence > end && groups * m_watchers <= watcherRank();
-         end += end + configgossip::watcherSilence) {
+    for (Duration end = configgossip::watcherTimeout;
+         elapsed > end && groups * m_watchers <= watcherRank();
+         end += end + configgossip::watcherTimeout) {
         ++groups;
     }
     return watcherRank() < m_watchers * groups;
 }
 
 template <GuardPolicy G>
-Duration BasicConfigGossip<G>::differencePatience() const
+Duration BasicConfigGossip<G>::differenceDelay() const
 {
-    // At the first object there is nothing to wait for.
+    // A daemon without any objects requests them at once.
     if (m_table.entries().empty()) {
         return Duration::zero();
     }
-    return m_isRelayed ? configgossip::relayedDifferencePatience : configgossip::differencePatience;
+    return m_isRelayed ? configgossip::relayedDifferenceDelay : configgossip::differenceDelay;
 }
 
 template <GuardPolicy G>
@@ -121,9 +122,9 @@
     if (push.objects.empty()) {
         return;
     }
-    forgetMatching();
-    if (watcherRank() >= configgossip::pushers) {
-        // Through relays the next heartbeat tells it.
+    removeMatching();
+    if (watcherRank() >= configgossip::pusherCount) {
+        // With relays, the next heartbeat carries the hash.
         if (!m_isRelayed) {
             sendDigestToAll(localPeers());
         }
@@ -141,9 +142,9 @@
     for (const PlatformObject &object : push.objects) {
         changed = m_table.apply(object) || changed;
     }
-    // What came from a peer is not pushed again: digests carry it further.
+    // Updates from a peer are not pushed again; digests spread them further.
     (void)m_table.drainUpdates();
-    forgetMatching();
+    removeMatching();
     return changed;
 }
 
@@ -164,34 +165,35 @@
 }
 
 template <GuardPolicy G>
-void BasicConfigGossip<G>::handle(const std::string &host, const ConfigDigest &from)
+void BasicConfigGossip<G>::handle(const std::string &host, const ConfigDigest &peerDigest)
 {
-    if (from.watches && m_membership.isLocal(host)) {
-        m_watcherHeard = m_clock.now();
+    if (peerDigest.watches && m_membership.isLocal(host)) {
+        m_watcherSeenAt = m_clock.now();
     }
-    if (!from.detailed) {
-        noteSummary(host, from.summary);
+    if (!peerDigest.detailed) {
+        recordSummary(host, peerDigest.summary);
         return;
     }
-    std::map<typename BasicConfigTable<G>::Key, Version> theirs;
-    for (const ConfigDigest::Entry &entry : from.entries) {
-        theirs[{entry.kind, entry.name}] = entry.version;
+    std::map<typename BasicConfigTable<G>::Key, Version> peerVersions;
+    for (const ConfigDigest::Entry &entry : peerDigest.entries) {
+        peerVersions[{entry.kind, entry.name}] = entry.version;
     }
     ConfigPush push;
     for (const auto &[key, entry] : m_table.entries()) {
-        const auto found = theirs.find(key);
-        if (found == theirs.end() || found->second < entry.seen) {
+        const auto found = peerVersions.find(key);
+        if (found == peerVersions.end() || found->second < entry.seen) {
             push.objects.push_back({key.first, key.second, entry.seen, entry.deleted, entry.value});
         }
     }
     if (!push.objects.empty()) {
         send(host, std::move(push));
     }
-    const bool lacking = std::any_of(theirs.begin(), theirs.end(), [this](const auto &their) {
-        const auto own = m_table.entries().find(their.first);
-        return own == m_table.entries().end() || own->second.seen < their.second;
-    });
-    if (lacking && !from.reply) {
+    const bool isBehind =
+        std::any_of(peerVersions.begin(), peerVersions.end(), [this](const auto &peer) {
+            const auto own = m_table.entries().find(peer.first);
+            return own == m_table.entries().end() || own->second.seen < peer.second;
+        });
+    if (isBehind && !peerDigest.reply) {
         send(host, digest(true, true));
     }
 }
@@ -200,38 +202,39 @@
 TimePoint BasicConfigGossip<G>::nextTick() const
 {
     TimePoint next = m_nextDigest;
-    for (const auto &[host, difference] : m_differing) {
-        next = std::min(next, difference.askAt);
+    for (const auto &[host, difference] : m_differences) {
+        next = std::min(next, difference.requestAt);
     }
     return next;
 }
 
-/// Remembers the hash of a peer where it differs. Each peer's is kept apart: one that lost
-/// the platform agrees with all that hear of nothing, and must not calm them.
+/// Records the hash of a peer if it differs. Hashes are kept per peer: a peer that lost the
+/// platform agrees with all that miss an update too, which must not clear the difference to
+/// another one.
 template <GuardPolicy G>
-void BasicConfigGossip<G>::noteSummary(const std::string &host, std::uint64_t summary)
+void BasicConfigGossip<G>::recordSummary(const std::string &host, std::uint64_t summary)
 {
     const TimePoint now = m_clock.now();
-    m_differing.try_emplace(host, Difference{summary, now + differencePatience()})
+    m_differences.try_emplace(host, Difference{summary, now + differenceDelay()})
         .first->second.summary = summary;
-    forgetMatching();
-    askWhereDue();
+    removeMatching();
+    requestDueVersions();
 }
 
 template <GuardPolicy G>
-void BasicConfigGossip<G>::forgetMatching()
+void BasicConfigGossip<G>::removeMatching()
 {
     const std::uint64_t own = m_table.summary();
-    std::erase_if(m_differing, [own](const auto &entry) { return entry.second.summary == own; });
+    std::erase_if(m_differences, [own](const auto &entry) { return entry.second.summary == own; });
 }
 
-/// Asks those that have differed for long enough what they have.
+/// Requests the versions of peers whose hash has differed for long enough.
 template <GuardPolicy G>
-void BasicConfigGossip<G>::askWhereDue()
+void BasicConfigGossip<G>::requestDueVersions()
 {
     const TimePoint now = m_clock.now();
-    std::erase_if(m_differing, [&](const auto &entry) {
-        const bool due = entry.second.askAt <= now;
+    std::erase_if(m_differences, [&](const auto &entry) {
+        const bool due = entry.second.requestAt <= now;
         if (due) {
             send(entry.first, digest(true, false));
         }
@@ -259,7 +262,7 @@
 template <GuardPolicy G>
 void BasicConfigGossip<G>::tick()
 {
-    askWhereDue();
+    requestDueVersions();
     if (m_clock.now() < m_nextDigest) {
         return;
     }
@@ -273,14 +276,14 @@
     for (const std::string &host : m_membership.livePeers()) {
         (m_membership.isLocal(host) ? local : remote).push_back(host);
     }
-    // A watcher's word goes to all of its data centre: they rely on it.
+    // All peers of the data centre rely on a watcher's digests.
     if (shouldWatch()) {
         sendDigestToAll(local);
     } else if (!local.empty()) {
         send(local[m_round % local.size()], digest(false, false));
     }
-    const bool alone = local.empty() || m_table.entries().empty();
-    if (!remote.empty() && (alone || m_round % configgossip::remoteRound == 0)) {
+    const bool isAlone = local.empty() || m_table.entries().empty();
+    if (!remote.empty() && (isAlone || m_round % configgossip::remoteRoundInterval == 0)) {
         send(remote[m_round % remote.size()], digest(false, false));
     }
 }
