--- a/include/harelink/Kernel/crashconfirmer.h
+++ b/include/harelink/Kernel/crashconfirmer.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/crashconfirmer.h - Did an endpoint end? --*- C++ -*-===//
+//===- harelink/Kernel/crashconfirmer.h - Endpoint crash checks -*- C++ -*-===//
 ///
 /// \file
-/// Tells the calls under which an endpoint ended from those of which only the connection
-/// broke: a lost answer, a reset connection, an endpoint that takes no more connections.
-/// Only the first say something against the request.
+/// Distinguishes calls during which an endpoint crashed from calls that lost only their
+/// connection, such as by a lost response, a reset, or an endpoint that accepts no further
+/// connections. Only a crash is evidence against the request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,31 +19,31 @@
 
 namespace harelink {
 
-/// Asks at an endpoint's address, once for all calls that break together.
+/// Probes the address of an endpoint, once for all calls that break at the same time.
 class CrashConfirmer
 {
 public:
-    /// Takes in a broken call.
+    /// Adds a broken call and probes its endpoint unless a probe is in progress.
     void add(BrokenCall call);
-    /// Takes in what a probe met.
+    /// Handles the result of a probe.
     void handle(const EndpointProbeResult &event);
-    /// The probes to make.
+    /// Returns the probes to send.
     [[nodiscard]] std::vector<EndpointProbe> drainProbes() { return std::exchange(m_probes, {}); }
-    /// The calls under which an endpoint has ended.
+    /// Returns the calls during which an endpoint crashed.
     [[nodiscard]] std::vector<BrokenCall> drainConfirmed()
     {
         return std::exchange(m_confirmed, {});
     }
 
 private:
-    /// The calls to one endpoint that broke lately.
+    /// Calls to one endpoint that broke recently.
     struct Pending
     {
-        std::vector<BrokenCall> probed;  ///< Before the probe under way began.
-        std::vector<BrokenCall> waiting; ///< Since: that probe says nothing of them.
+        std::vector<BrokenCall> probed;  ///< Broke before the probe in progress started.
+        std::vector<BrokenCall> waiting; ///< Broke later; its result does not apply to them.
     };
 
-    void probe(const std::string &endpoint, Pending &pending);
+    void startProbe(const std::string &endpoint, Pending &pending);
 
     std::map<std::string, Pending> m_pending; ///< By endpoint.
     std::vector<EndpointProbe> m_probes;
--- a/include/harelink/Kernel/crashcounter.h
+++ b/include/harelink/Kernel/crashcounter.h
@@ -1,14 +1,14 @@
-//===- harelink/Kernel/crashcounter.h - Ends under a request ----*- C++ -*-===//
+//===- harelink/Kernel/crashcounter.h - Crashes per request -----*- C++ -*-===//
 ///
 /// \file
-/// Counts, by the digest of a request, the endpoints that ended under it, and says when
-/// the request has to be the cause.
+/// Counts the endpoint crashes during a request, by the digest of the request, and determines
+/// when the request must be their cause.
 ///
-/// Whenever an endpoint ends, all requests that it runs are suspects, most of them
-/// innocent. What tells the guilty one: it is there at the next end too, and never runs
-/// to a good end. An end counts only where the request had been sent after the one that
-/// counted before, so that endpoints that end together, for a cause of their own, accuse
-/// nobody, however often the request is asked for.
+/// Whenever an endpoint crashes, all requests that it runs are suspects, most of them
+/// unrelated to the crash. The request that causes it is also running at the next crash and
+/// never completes. A crash is counted only if the request was sent after the last counted
+/// crash. Endpoints that crash together for an unrelated reason therefore count once for a
+/// request, no matter how often it is sent.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,34 +25,35 @@
 
 namespace harelink {
 
-/// The ends that one daemon has heard of.
+/// The crashes that are known to one daemon.
 class CrashCounter
 {
 public:
-    /// \param clock outlives the counter.
+    /// \param clock must outlive the counter.
     explicit CrashCounter(const Clock &clock)
         : m_clock(clock)
     {
     }
 
-    /// Takes in that \p endpoint ended under a request; gives the endpoints that ended under
-    /// such requests where they are enough to tell, and nothing otherwise.
+    /// Records that \p endpoint crashed during a call that was sent at \p sentAt and whose
+    /// connection closed at \p brokeAt. Returns the endpoints of all counted crashes if they
+    /// suffice to quarantine the request, otherwise an empty list.
     [[nodiscard]] std::vector<std::string> recordCrash(const Hash128 &digest,
                                                        const std::string &endpoint,
                                                        TimePoint sentAt, TimePoint brokeAt);
-    /// Such a request ran to a good end, or what it did is no longer held against it.
+    /// Discards the crashes of \p digest: such a request completed, or is quarantined by now.
     void clear(const Hash128 &digest) { m_suspects.erase(digest); }
-    /// How many requests are held in suspicion.
+    /// Number of suspected requests.
     [[nodiscard]] std::size_t size() const { return m_suspects.size(); }
 
 private:
     struct Suspect
     {
-        std::vector<std::string> endpoints; ///< One for each end that counted, in order.
-        TimePoint lastEnd;
+        std::vector<std::string> endpoints; ///< One entry per counted crash, in order.
+        TimePoint lastCrashAt;
     };
 
-    void makeRoom();
+    void evictIfFull();
 
     const Clock &m_clock;
     absl::flat_hash_map<Hash128, Suspect> m_suspects;
--- a/include/harelink/Kernel/crashdetector.h
+++ b/include/harelink/Kernel/crashdetector.h
@@ -1,16 +1,17 @@
-//===- harelink/Kernel/crashdetector.h - Requests that end endpoints *- C++ -*-===//
+//===- harelink/Kernel/crashdetector.h - Crash detection --------*- C++ -*-===//
 ///
 /// \file
-/// Notices requests that crash whatever runs them, over their copies and over hosts, and
-/// has them put under quarantine.
+/// Detects requests that crash the endpoints that run them, across retries and hosts, and
+/// quarantines them.
 ///
-/// A daemon that sees a call break learns first whether its endpoint has ended. Then it
-/// reports the request, by its digest, to the two hosts that rendezvous hashing gives for
-/// that digest, and counts itself. Whoever has counted enough declares a quarantine in the
-/// platform. Options weighed: each daemon counts alone (every daemon pays three endpoints);
-/// every suspect is written to the platform (a crash has some ten suspects, most of them
-/// innocent); all tell all (grows with the hosts). Reports may be lost with the hosts that
-/// count them: then the count begins anew, which costs three endpoints more.
+/// A daemon whose call breaks first probes whether the endpoint has crashed. It then counts
+/// the crash and reports it, by the digest of the request, to the two hosts that rendezvous
+/// hashing selects for the digest. A daemon whose count reaches the threshold declares a
+/// quarantine in the platform. Alternatives considered: each daemon counts alone (three
+/// crashed endpoints per daemon); every suspect is written to the platform (about ten
+/// suspects per crash, most of them unrelated); broadcast to all peers (cost grows with the
+/// number of hosts). Reports are lost with the hosts that count them; the count then restarts
+/// and three more endpoints crash.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -29,23 +30,23 @@
 
 namespace harelink {
 
-/// A request that was put under quarantine here.
+/// A request that was quarantined by this daemon.
 struct QuarantineDecision
 {
     Hash128 digest;
     std::string pool;
-    std::vector<std::string> endpoints; ///< That ended, in order.
+    std::vector<std::string> endpoints; ///< Crashed endpoints, in order.
 };
 
-/// The watch of one daemon.
+/// The crash detector of one daemon.
 class CrashDetector
 {
 public:
-    /// All references outlive the watch.
+    /// All references must outlive the detector.
     CrashDetector(const Clock &clock, const Membership &membership,
-                  const std::string &quarantineKind, std::chrono::milliseconds quarantineLength);
+                  const std::string &quarantineKind, std::chrono::milliseconds quarantineDuration);
 
-    /// The events.
+    /// Event handlers.
     void handle(BrokenCall call);
     void handle(const EndpointProbeResult &event);
     void handle(const RequestCleared &event);
@@ -55,10 +56,10 @@
     void tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
               std::uint64_t &nextCallId);
 
-    /// The actions that came up since the last call.
+    /// Return the actions and decisions since the last call.
     [[nodiscard]] std::vector<EndpointProbe> drainProbes() { return m_confirmer.drainProbes(); }
     [[nodiscard]] std::vector<PeerSend> drainSends() { return std::exchange(m_sends, {}); }
-    /// For the workers: requests whose good ends are to be told.
+    /// Requests whose successful completion the workers must report.
     [[nodiscard]] std::vector<RequestSuspected> drainSuspects()
     {
         return std::exchange(m_suspects, {});
@@ -67,14 +68,14 @@
     {
         return std::exchange(m_decisions, {});
     }
-    /// What is decided here and not seen in the platform yet.
+    /// Quarantines decided by this daemon that are not visible in the platform yet.
     [[nodiscard]] std::vector<Resource> unpublished() const { return m_publisher.unpublished(); }
     [[nodiscard]] TimePoint nextTick() const { return m_publisher.nextTick(); }
 
 private:
     void reportConfirmed();
-    void count(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt);
-    [[nodiscard]] std::vector<std::string> countersOf(const Hash128 &digest) const;
+    void countCrash(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt);
+    [[nodiscard]] std::vector<std::string> countingHostsOf(const Hash128 &digest) const;
     void send(const std::string &host, decltype(PeerMessage::content) content);
 
     const Clock &m_clock;
--- a/include/harelink/Kernel/platform.h
+++ b/include/harelink/Kernel/platform.h
@@ -1,9 +1,9 @@
 //===- harelink/Kernel/platform.h - Calls to the object API -----*- C++ -*-===//
 ///
 /// \file
-/// The calls that the kernel makes to the platform's object API, and what may
-/// come back. Versions are of the whole store: each write gets the next one, so
-/// an object that was deleted and made again has a higher version than before.
+/// Calls of the kernel to the platform's object API and their results. Versions
+/// are store-wide: each write gets the next one, so an object that is deleted
+/// and created again has a higher version than before.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,69 +19,68 @@
 
 namespace harelink {
 
-/// A version of an object; 0 stands for "does not exist".
+/// A version of an object; 0 means that the object does not exist.
 using Version = std::uint64_t;
 
-/// An object, or the news that it was deleted.
+/// An object, or the record of its deletion.
 struct PlatformObject
 {
     std::string kind;
     std::string name;
-    Version version = 0; ///< Of its last change or of its deletion.
+    Version version = 0; ///< Of the last change or of the deletion.
     bool deleted = false;
     std::string value;
 };
 
-/// What a call asks for.
+/// The operation of a call.
 enum class PlatformOperation {
     Get,
     Put,
     Delete,
     List,
     Watch,
-    Hosts, ///< The host list, as objects with JSON values.
+    Hosts, ///< Get the host list, as objects with JSON values.
 };
 
 /// Action: call the platform.
 struct PlatformCall
 {
-    std::uint64_t id = 0; ///< Comes back in the result.
+    std::uint64_t id = 0; ///< Copied to the result.
     PlatformOperation operation = PlatformOperation::Get;
-    std::string kind;           ///< For List and Watch several, with commas between.
-    std::string name;           ///< List: only what comes after it.
-    Version ifVersion = 0;      ///< Put and Delete: only over this version; 0 creates.
-    bool unconditional = false; ///< Put: over whatever is there. Tests only.
+    std::string kind;           ///< List and Watch: a comma-separated list of kinds.
+    std::string name;           ///< List: only objects whose name sorts after it.
+    Version ifVersion = 0;      ///< Put and Delete: required current version; 0 creates.
+    bool unconditional = false; ///< Put: replace any version. For tests only.
     std::string value;
-    Version since = 0; ///< Watch: news after this version.
-    Duration wait{};   ///< Watch: how long the platform may wait for news.
+    Version since = 0; ///< Watch: return changes after this version.
+    Duration wait{};   ///< Watch: maximum time that the platform waits for a change.
 };
 
-/// How a call ended.
+/// Outcome of a call.
 enum class PlatformOutcome {
     Ok,
-    Conflict, ///< The version was another one; nothing was written.
+    Conflict, ///< The version differed; nothing was written.
     NotFound,
-    Gone,       ///< Watch: the news asked for is no longer kept; list again.
-    Refused,    ///< Surely not carried out: no connection, or the platform said so.
-    Unanswered, ///< No answer: it may have been carried out, or may still be.
+    Gone,       ///< Watch: the requested changes are no longer retained; list again.
+    Refused,    ///< Definitely not executed: no connection, or rejected by the platform.
+    Unanswered, ///< No response: it may have been executed or may still be.
 };
 
-/// A short name, as in "watch".
+/// Returns the name of \p operation, such as "watch".
 [[nodiscard]] std::string_view toText(PlatformOperation operation);
-/// A short name, as in "silent".
+/// Returns the name of \p outcome, such as "conflict".
 [[nodiscard]] std::string_view toText(PlatformOutcome outcome);
 
-/// Event: a call ended.
+/// Event: a call completed.
 struct PlatformResult
 {
     std::uint64_t id = 0;
     PlatformOutcome outcome = PlatformOutcome::Unanswered;
-    Version version =
-        0;             ///< Put: of what was written. Get: of the object. List, Watch: of the store.
-    std::string value; ///< Get.
+    Version version = 0;                 ///< Put, Get: of the object. List, Watch: of the store.
+    std::string value;                   ///< Get.
     std::vector<PlatformObject> objects; ///< List, Watch.
-    std::size_t unreadable = 0; ///< List, Watch: objects that cannot be told by name and version.
-    bool more = false;          ///< List: ask again for what comes after the last name.
+    std::size_t unreadable = 0; ///< List, Watch: objects without a readable name and version.
+    bool more = false;          ///< List: list again for the objects after the last name.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/quarantinepublisher.h
+++ b/include/harelink/Kernel/quarantinepublisher.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/quarantinepublisher.h - Who is not run --------*- C++ -*-===//
+//===- harelink/Kernel/quarantinepublisher.h - Quarantines ------*- C++ -*-===//
 ///
 /// \file
-/// Declares in the platform which requests are not run any more. What is declared outlives
-/// every daemon: all of them may end at once under the very requests that it tells of. It
-/// spreads as all declared objects do.
+/// Publishes quarantines of requests as declared objects in the platform. They must outlive
+/// the daemons, since the quarantined requests may take down all of them at once, and they are
+/// distributed like all declared objects.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,48 +23,49 @@
 
 namespace harelink {
 
-/// The declared objects as a ConfigTable holds them.
+/// The declared objects, as stored in a ConfigTable.
 using ConfigEntries = std::map<std::pair<std::string, std::string>, ConfigEntry>;
 
-/// The decisions of one daemon that are not seen in the platform yet.
+/// Publishes the decisions of one daemon until they are visible in the platform.
 class QuarantinePublisher
 {
 public:
-    /// \param clock outlives the book.
-    /// \param kind of the objects.
+    /// \param clock must outlive the publisher.
+    /// \param kind of the declared objects.
     /// \param length of a quarantine.
-    QuarantinePublisher(const Clock &clock, std::string kind, std::chrono::milliseconds length);
+    QuarantinePublisher(const Clock &clock, std::string kind, std::chrono::milliseconds duration);
 
-    /// Requests with \p digest are not to be run from now on.
+    /// Quarantines requests with \p digest from now on.
     void add(const Hash128 &digest, const std::string &pool, std::vector<std::string> endpoints);
-    /// Takes in the result of a call; false where it is none of the book's.
+    /// Handles the result of a call; returns false if this publisher did not make it.
     bool handle(const PlatformResult &result);
-    /// Forgets what stands in \p declared by now, and makes the calls that are due.
+    /// Drops the decisions that are in \p declared by now and appends the calls that are due
+    /// to \p calls.
     void tick(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
               std::uint64_t &nextCallId);
     [[nodiscard]] TimePoint nextTick() const;
-    /// What is decided and not declared yet: in force here nevertheless.
+    /// Returns the decisions that are not declared yet. They are already in force on this host.
     [[nodiscard]] std::vector<Resource> unpublished() const;
 
 private:
-    /// One decision.
+    /// A quarantine to be declared.
     struct Decision
     {
         QuarantineSpec spec;
-        std::uint64_t callId = 0; ///< Of the call under way; 0 for none.
-        TimePoint dueAt;
+        std::uint64_t callId = 0; ///< Of the call in progress; 0 if none.
+        TimePoint nextAttempt;
         Duration backOff{};
     };
 
     void declare(Decision &decision, const ConfigEntries &declared,
                  std::vector<PlatformCall> &calls, std::uint64_t &nextCallId);
-    void remove(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
-                std::uint64_t &nextCallId) const;
+    void removeObsolete(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
+                        std::uint64_t &nextCallId) const;
     [[nodiscard]] bool isExpired(const ConfigEntry &entry) const;
 
     const Clock &m_clock;
     std::string m_kind;
-    std::chrono::milliseconds m_length;
+    std::chrono::milliseconds m_duration;
     std::map<Hash128, Decision> m_decisions;
 };
 
--- a/include/harelink/Kernel/registry.h
+++ b/include/harelink/Kernel/registry.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/registry.h - Plug-ins by name ------------*- C++ -*-===//
+//===- harelink/Kernel/registry.h - Plug-in registry ------------*- C++ -*-===//
 ///
 /// \file
-/// Where plug-ins register themselves. Settings and resources choose them by
-/// name; an unknown name is an error that lists the known ones.
+/// Registry of plug-ins. Settings and resources select plug-ins by name; an
+/// unknown name is an error that lists the known names.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,26 +25,26 @@
 public:
     using Factory = std::function<std::unique_ptr<Interface>()>;
 
-    /// The one registry of \p Interface.
+    /// Returns the process-wide registry of \p Interface.
     static Registry &instance()
     {
         static Registry registry;
         return registry;
     }
-    /// Adds a plug-in; a name is taken once.
+    /// Adds a plug-in; \p name must be unique.
     void add(const std::string &name, Factory factory)
     {
         const bool added = m_factories.emplace(name, std::move(factory)).second;
         assert(added && "two plug-ins have the same name");
         (void)added;
     }
-    /// Makes the plug-in called \p name, or null where there is none.
+    /// Creates the plug-in called \p name; returns null if there is none.
     [[nodiscard]] std::unique_ptr<Interface> make(const std::string &name) const
     {
         const auto found = m_factories.find(name);
         return found == m_factories.end() ? nullptr : found->second();
     }
-    /// The registered names, sorted.
+    /// Returns the registered names, sorted.
     [[nodiscard]] std::vector<std::string> names() const
     {
         std::vector<std::string> names;
@@ -58,7 +58,7 @@
     std::map<std::string, Factory> m_factories;
 };
 
-/// A static object of this type registers \p Plugin at start.
+/// Registers \p Plugin at program start; to be used as a static object.
 template <typename Interface, typename Plugin>
 struct Registration
 {
--- a/lib/Kernel/claimbucket.cpp
+++ b/lib/Kernel/claimbucket.cpp
@@ -1,4 +1,4 @@
-//===- claimbucket.cpp - Records of claims --------------------------------===//
+//===- claimbucket.cpp - Claim bucket records -----------------------------===//
 
 #include "harelink/Kernel/claimbucket.h"
 
@@ -23,19 +23,19 @@
 {
     wire::ClaimBucket bucket;
     for (const auto &[key, record] : records) {
-        wire::ClaimRecord &to = *bucket.add_records();
-        to.mutable_key()->set_high(key.high);
-        to.mutable_key()->set_low(key.low);
-        to.mutable_digest()->set_high(record.digest.high);
-        to.mutable_digest()->set_low(record.digest.low);
-        to.mutable_claimant()->set_incarnation(record.claimant.incarnation);
-        to.mutable_claimant()->set_sequence(record.claimant.sequence);
-        to.set_state(static_cast<wire::ClaimRecord::State>(record.state));
-        to.set_changed_at_ms(record.changedAt.time_since_epoch().count());
-        to.set_answer(record.answer);
-        to.set_answer_dropped(record.answerDropped);
+        wire::ClaimRecord &target = *bucket.add_records();
+        target.mutable_key()->set_high(key.high);
+        target.mutable_key()->set_low(key.low);
+        target.mutable_digest()->set_high(record.digest.high);
+        target.mutable_digest()->set_low(record.digest.low);
+        target.mutable_claimant()->set_incarnation(record.claimant.incarnation);
+        target.mutable_claimant()->set_sequence(record.claimant.sequence);
+        target.set_state(static_cast<wire::ClaimRecord::State>(record.state));
+        target.set_changed_at_ms(record.changedAt.time_since_epoch().count());
+        target.set_answer(record.answer);
+        target.set_answer_dropped(record.answerDropped);
         for (const RequestId &claimant : record.releasedClaimants) {
-            wire::RequestId &id = *to.add_given_up();
+            wire::RequestId &id = *target.add_given_up();
             id.set_incarnation(claimant.incarnation);
             id.set_sequence(claimant.sequence);
         }
@@ -51,15 +51,15 @@
         return std::nullopt;
     }
     ClaimRecords records;
-    for (const wire::ClaimRecord &from : bucket.records()) {
-        ClaimRecord &record = records[{from.key().high(), from.key().low()}];
-        record.claimant = {from.claimant().incarnation(), from.claimant().sequence()};
-        record.digest = {from.digest().high(), from.digest().low()};
-        record.state = static_cast<ClaimRecord::State>(from.state());
-        record.changedAt = WallTime(std::chrono::milliseconds(from.changed_at_ms()));
-        record.answer = from.answer();
-        record.answerDropped = from.answer_dropped();
-        for (const wire::RequestId &id : from.given_up()) {
+    for (const wire::ClaimRecord &source : bucket.records()) {
+        ClaimRecord &record = records[{source.key().high(), source.key().low()}];
+        record.claimant = {source.claimant().incarnation(), source.claimant().sequence()};
+        record.digest = {source.digest().high(), source.digest().low()};
+        record.state = static_cast<ClaimRecord::State>(source.state());
+        record.changedAt = WallTime(std::chrono::milliseconds(source.changed_at_ms()));
+        record.answer = source.answer();
+        record.answerDropped = source.answer_dropped();
+        for (const wire::RequestId &id : source.given_up()) {
             record.releasedClaimants.push_back({id.incarnation(), id.sequence()});
         }
     }
--- a/lib/Kernel/crashconfirmer.cpp
+++ b/lib/Kernel/crashconfirmer.cpp
@@ -1,4 +1,4 @@
-//===- crashconfirmer.cpp - Did an endpoint end? --------------------------===//
+//===- crashconfirmer.cpp - Endpoint crash checks -------------------------===//
 
 #include "harelink/Kernel/crashconfirmer.h"
 
@@ -7,8 +7,9 @@
 namespace harelink {
 namespace {
 
-/// Calls to one endpoint that wait for word of it; of more, the rest says nothing new.
-constexpr std::size_t mostPending = 256;
+/// Maximum number of calls that wait for a probe of one endpoint; further calls would add no
+/// information and are dropped.
+constexpr std::size_t maxPendingCalls = 256;
 
 } // namespace
 
@@ -33,15 +34,15 @@
     }
     const std::string endpoint = call.endpoint;
     Pending &pending = m_pending[endpoint];
-    if (pending.waiting.size() < mostPending) {
+    if (pending.waiting.size() < maxPendingCalls) {
         pending.waiting.push_back(std::move(call));
     }
     if (pending.probed.empty()) {
-        probe(endpoint, pending);
+        startProbe(endpoint, pending);
     }
 }
 
-void CrashConfirmer::probe(const std::string &endpoint, Pending &pending)
+void CrashConfirmer::startProbe(const std::string &endpoint, Pending &pending)
 {
     pending.probed = std::exchange(pending.waiting, {});
     m_probes.push_back({endpoint, pending.probed.front().address});
@@ -62,7 +63,7 @@
         m_pending.erase(found);
         return;
     }
-    probe(event.endpoint, pending);
+    startProbe(event.endpoint, pending);
 }
 
 } // namespace harelink
--- a/lib/Kernel/crashcounter.cpp
+++ b/lib/Kernel/crashcounter.cpp
@@ -1,4 +1,4 @@
-//===- crashcounter.cpp - Ends under a request ----------------------------===//
+//===- crashcounter.cpp - Crashes per request -----------------------------===//
 
 #include "harelink/Kernel/crashcounter.h"
 
@@ -8,16 +8,18 @@
 namespace harelink {
 namespace {
 
-/// So many ends tell. One and two befall every request that stands beside a guilty one while
-/// endpoints end each second; the users' rule counts sends from the third end on.
-constexpr std::size_t endsThatTell = 3;
-/// No endpoint is back sooner: what is told of it within this time is told twice.
-constexpr std::chrono::milliseconds sameEnd{1500};
-/// A request under which no endpoint ended for so long is no longer held in suspicion.
-constexpr std::chrono::minutes memory{30};
-/// Requests held in suspicion, some 150 bytes each: all that stand at a few hundred
-/// endpoints that end at once.
-constexpr std::size_t mostSuspects = 4096;
+/// Number of crashes after which a request is quarantined. One or two also occur by chance to
+/// requests that run beside a crashing one while an endpoint crashes every second. The users'
+/// requirement counts sends from the third crash on.
+constexpr std::size_t quarantineThreshold = 3;
+/// No endpoint restarts faster, so a second report of an endpoint within this time is a
+/// duplicate.
+constexpr std::chrono::milliseconds sameCrashWindow{1500};
+/// A request without a crash for this period is no longer a suspect.
+constexpr std::chrono::minutes suspectRetention{30};
+/// Maximum number of suspects, about 150 bytes each. Holds all requests of a few hundred
+/// endpoints that crash at the same time.
+constexpr std::size_t maxSuspects = 4096;
 
 } // namespace
 
@@ -26,40 +28,42 @@
                                                    TimePoint brokeAt)
 {
     if (!m_suspects.contains(digest)) {
-        makeRoom();
+        evictIfFull();
     }
     Suspect &suspect = m_suspects[digest];
-    if (m_clock.now() - suspect.lastEnd > memory) {
+    if (m_clock.now() - suspect.lastCrashAt > suspectRetention) {
         suspect.endpoints.clear();
     }
     const bool isFirst = suspect.endpoints.empty();
-    const bool isSame =
-        !isFirst && suspect.endpoints.back() == endpoint && brokeAt - suspect.lastEnd < sameEnd;
-    if (!isFirst && (isSame || sentAt < suspect.lastEnd)) {
+    const bool isSameCrash = !isFirst && suspect.endpoints.back() == endpoint
+                             && brokeAt - suspect.lastCrashAt < sameCrashWindow;
+    if (!isFirst && (isSameCrash || sentAt < suspect.lastCrashAt)) {
         return {};
     }
     suspect.endpoints.push_back(endpoint);
-    suspect.lastEnd = brokeAt;
-    return suspect.endpoints.size() < endsThatTell ? std::vector<std::string>() : suspect.endpoints;
+    suspect.lastCrashAt = brokeAt;
+    return suspect.endpoints.size() < quarantineThreshold ? std::vector<std::string>()
+                                                          : suspect.endpoints;
 }
 
-void CrashCounter::makeRoom()
+void CrashCounter::evictIfFull()
 {
-    if (m_suspects.size() < mostSuspects) {
+    if (m_suspects.size() < maxSuspects) {
         return;
     }
     const TimePoint now = m_clock.now();
-    absl::erase_if(m_suspects,
-                   [now](const auto &entry) { return now - entry.second.lastEnd > memory; });
-    if (m_suspects.size() < mostSuspects) {
+    absl::erase_if(m_suspects, [now](const auto &entry) {
+        return now - entry.second.lastCrashAt > suspectRetention;
+    });
+    if (m_suspects.size() < maxSuspects) {
         return;
     }
-    // Those with the fewest ends, and of them the oldest, are the likeliest to be innocent.
-    const auto isLess = [](const auto &a, const auto &b) {
-        return std::pair(a.second.endpoints.size(), a.second.lastEnd)
-               < std::pair(b.second.endpoints.size(), b.second.lastEnd);
+    // The suspects with the fewest crashes, and the oldest of them, are the least likely cause.
+    const auto isLessSuspicious = [](const auto &a, const auto &b) {
+        return std::pair(a.second.endpoints.size(), a.second.lastCrashAt)
+               < std::pair(b.second.endpoints.size(), b.second.lastCrashAt);
     };
-    m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(), isLess));
+    m_suspects.erase(std::min_element(m_suspects.begin(), m_suspects.end(), isLessSuspicious));
 }
 
 } // namespace harelink
--- a/lib/Kernel/crashdetector.cpp
+++ b/lib/Kernel/crashdetector.cpp
@@ -1,4 +1,4 @@
-//===- crashdetector.cpp - Requests that end endpoints -----------------------===//
+//===- crashdetector.cpp - Crash detection --------------------------------===//
 
 #include "harelink/Kernel/crashdetector.h"
 
@@ -7,19 +7,19 @@
 namespace harelink {
 namespace {
 
-/// Hosts that count the ends under one request: with one of them lost or out of reach the
-/// other has the whole count.
-constexpr std::size_t mostCounters = 2;
+/// Number of hosts that count the crashes of one request. With two, the count survives if one
+/// of them is lost or unreachable.
+constexpr std::size_t maxCountingHosts = 2;
 
 } // namespace
 
 CrashDetector::CrashDetector(const Clock &clock, const Membership &membership,
                              const std::string &quarantineKind,
-                             std::chrono::milliseconds quarantineLength)
+                             std::chrono::milliseconds quarantineDuration)
     : m_clock(clock)
     , m_membership(membership)
     , m_counter(clock)
-    , m_publisher(clock, quarantineKind, quarantineLength)
+    , m_publisher(clock, quarantineKind, quarantineDuration)
 {
 }
 
@@ -42,9 +42,9 @@
     for (const BrokenCall &call : m_confirmer.drainConfirmed()) {
         const CrashReport report{call.digest, call.pool, call.endpoint, now - call.sentAt,
                                  now - call.brokeAt};
-        count(report, call.sentAt, call.brokeAt);
-        std::vector<std::string> hosts = countersOf(call.digest);
-        // Where the request is, its good end is seen.
+        countCrash(report, call.sentAt, call.brokeAt);
+        std::vector<std::string> hosts = countingHostsOf(call.digest);
+        // The host that owns the request observes its successful completion.
         if (!call.requester.empty()) {
             hosts.push_back(call.requester);
         }
@@ -63,27 +63,27 @@
 {
     const TimePoint now = m_clock.now();
     for (const CrashReport &report : message.reports) {
-        count(report, now - report.sentAgo, now - report.brokeAgo);
+        countCrash(report, now - report.sentAgo, now - report.brokeAgo);
     }
 }
 
-void CrashDetector::count(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt)
+void CrashDetector::countCrash(const CrashReport &report, TimePoint sentAt, TimePoint brokeAt)
 {
     m_suspects.push_back({report.digest});
-    std::vector<std::string> ended =
+    std::vector<std::string> crashed =
         m_counter.recordCrash(report.digest, report.endpoint, sentAt, brokeAt);
-    if (ended.empty()) {
+    if (crashed.empty()) {
         return;
     }
     m_counter.clear(report.digest);
-    m_publisher.add(report.digest, report.pool, ended);
-    m_decisions.push_back({report.digest, report.pool, std::move(ended)});
+    m_publisher.add(report.digest, report.pool, crashed);
+    m_decisions.push_back({report.digest, report.pool, std::move(crashed)});
 }
 
 void CrashDetector::handle(const RequestCleared &event)
 {
     m_counter.clear(event.digest);
-    for (const std::string &host : countersOf(event.digest)) {
+    for (const std::string &host : countingHostsOf(event.digest)) {
         send(host, CrashesCleared{{event.digest}});
     }
 }
@@ -101,11 +101,11 @@
     m_publisher.tick(declared, calls, nextCallId);
 }
 
-std::vector<std::string> CrashDetector::countersOf(const Hash128 &digest) const
+std::vector<std::string> CrashDetector::countingHostsOf(const Hash128 &digest) const
 {
     std::vector<std::string> hosts =
         m_membership.ranked(m_membership.candidates(), "crashes/" + toHex(digest));
-    hosts.resize(std::min(hosts.size(), mostCounters));
+    hosts.resize(std::min(hosts.size(), maxCountingHosts));
     return hosts;
 }
 
--- a/lib/Kernel/quarantinepublisher.cpp
+++ b/lib/Kernel/quarantinepublisher.cpp
@@ -1,4 +1,4 @@
-//===- quarantinepublisher.cpp - Who is not run --------------------------------===//
+//===- quarantinepublisher.cpp - Quarantines ------------------------------===//
 
 #include "harelink/Kernel/quarantinepublisher.h"
 
@@ -9,17 +9,18 @@
 
 using std::chrono::milliseconds;
 
-/// Between two tries to declare a decision: the platform may be away or slow.
-constexpr milliseconds firstBackOff{200};
-constexpr milliseconds longestBackOff{2000};
-/// A decision that was written is seen in the listing or watch soon after; else it is
-/// written again.
-constexpr milliseconds sightTime{5000};
-/// Declared at once at the most, some 400 bytes each; the oldest go first. Each of them cost
-/// three endpoints, so an installation has a handful.
-constexpr std::size_t mostDeclared = 1000;
-/// Old ones that go with each new one, so that what was left over shrinks.
-constexpr std::size_t mostRemoved = 4;
+/// Delay between attempts to declare a decision while the platform is slow or unreachable.
+constexpr milliseconds initialBackOff{200};
+constexpr milliseconds maxBackOff{2000};
+/// A written decision must become visible in a listing or watch within this time; otherwise it
+/// is written again.
+constexpr milliseconds visibilityTimeout{5000};
+/// Maximum number of declared quarantines, about 400 bytes each; the oldest are removed first.
+/// Each of them cost three endpoints, so an installation has only a few.
+constexpr std::size_t maxDeclared = 1000;
+/// Maximum number of obsolete quarantines removed with each new one. More than one, so that a
+/// backlog shrinks.
+constexpr std::size_t maxRemovedPerDecision = 4;
 
 const QuarantineSpec *specOf(const ConfigEntry &entry)
 {
@@ -30,10 +31,11 @@
 
 } // namespace
 
-QuarantinePublisher::QuarantinePublisher(const Clock &clock, std::string kind, milliseconds length)
+QuarantinePublisher::QuarantinePublisher(const Clock &clock, std::string kind,
+                                         milliseconds duration)
     : m_clock(clock)
     , m_kind(std::move(kind))
-    , m_length(length)
+    , m_duration(duration)
 {
 }
 
@@ -45,9 +47,9 @@
     decision.spec.pool = pool;
     decision.spec.endpoints = std::move(endpoints);
     decision.spec.since = m_clock.wallNow();
-    decision.spec.until = decision.spec.since + m_length;
-    decision.dueAt = m_clock.now();
-    decision.backOff = firstBackOff;
+    decision.spec.until = decision.spec.since + m_duration;
+    decision.nextAttempt = m_clock.now();
+    decision.backOff = initialBackOff;
     m_decisions.try_emplace(digest, std::move(decision));
 }
 
@@ -61,11 +63,12 @@
     }
     Decision &decision = found->second;
     decision.callId = 0;
-    // In a conflict another daemon has declared the same a moment ago.
+    // After a conflict, another daemon has declared the same quarantine.
     const bool isWritten =
         result.outcome == PlatformOutcome::Ok || result.outcome == PlatformOutcome::Conflict;
-    decision.dueAt = m_clock.now() + (isWritten ? Duration(sightTime) : decision.backOff);
-    decision.backOff = std::min<Duration>(decision.backOff * 2, longestBackOff);
+    decision.nextAttempt =
+        m_clock.now() + (isWritten ? Duration(visibilityTimeout) : decision.backOff);
+    decision.backOff = std::min<Duration>(decision.backOff * 2, maxBackOff);
     return true;
 }
 
@@ -84,7 +87,7 @@
         return spec != nullptr && spec->until > m_clock.wallNow();
     });
     for (auto &[digest, decision] : m_decisions) {
-        if (decision.callId == 0 && decision.dueAt <= m_clock.now()) {
+        if (decision.callId == 0 && decision.nextAttempt <= m_clock.now()) {
             declare(decision, declared, calls, nextCallId);
         }
     }
@@ -93,40 +96,42 @@
 void QuarantinePublisher::declare(Decision &decision, const ConfigEntries &declared,
                                   std::vector<PlatformCall> &calls, std::uint64_t &nextCallId)
 {
-    remove(declared, calls, nextCallId);
+    removeObsolete(declared, calls, nextCallId);
     PlatformCall call;
     call.id = nextCallId++;
     call.operation = PlatformOperation::Put;
     call.kind = m_kind;
     call.name = toHex(decision.spec.digest);
     call.value = quarantineDocument(decision.spec).dump();
-    const auto before = declared.find({m_kind, call.name});
-    // One that has run out and was not removed yet is replaced.
-    call.ifVersion = before == declared.end() || before->second.deleted ? 0 : before->second.seen;
+    const auto previous = declared.find({m_kind, call.name});
+    // Replaces an expired quarantine that was not removed yet.
+    call.ifVersion =
+        previous == declared.end() || previous->second.deleted ? 0 : previous->second.seen;
     decision.callId = call.id;
     calls.push_back(std::move(call));
 }
 
-/// Removes some of those that have run out or are too many. The answers are of no interest:
-/// what stays is tried again with the next decision.
-void QuarantinePublisher::remove(const ConfigEntries &declared, std::vector<PlatformCall> &calls,
-                                 std::uint64_t &nextCallId) const
+/// Removes some of the quarantines that have expired or exceed the limit. The results are
+/// ignored: a failed removal is retried with the next decision.
+void QuarantinePublisher::removeObsolete(const ConfigEntries &declared,
+                                         std::vector<PlatformCall> &calls,
+                                         std::uint64_t &nextCallId) const
 {
-    std::vector<std::pair<WallTime, const ConfigEntries::value_type *>> standing;
-    for (auto at = declared.lower_bound({m_kind, {}});
-         at != declared.end() && at->first.first == m_kind; ++at) {
-        if (const QuarantineSpec *spec = specOf(at->second)) {
-            standing.emplace_back(spec->since, &*at);
+    std::vector<std::pair<WallTime, const ConfigEntries::value_type *>> existing;
+    for (auto it = declared.lower_bound({m_kind, {}});
+         it != declared.end() && it->first.first == m_kind; ++it) {
+        if (const QuarantineSpec *spec = specOf(it->second)) {
+            existing.emplace_back(spec->since, &*it);
         }
     }
-    std::sort(standing.begin(), standing.end());
-    const std::size_t tooMany =
-        standing.size() < mostDeclared ? 0 : standing.size() + 1 - mostDeclared;
+    std::sort(existing.begin(), existing.end());
+    const std::size_t excess =
+        existing.size() < maxDeclared ? 0 : existing.size() + 1 - maxDeclared;
     std::size_t removed = 0;
-    for (std::size_t i = 0; i < standing.size() && removed < mostRemoved; ++i) {
-        const auto &[key, entry] = *standing[i].second;
+    for (std::size_t i = 0; i < existing.size() && removed < maxRemovedPerDecision; ++i) {
+        const auto &[key, entry] = *existing[i].second;
         const bool isNeeded = m_decisions.contains(specOf(entry)->digest);
-        if (isNeeded || (i >= tooMany && !isExpired(entry))) {
+        if (isNeeded || (i >= excess && !isExpired(entry))) {
             continue;
         }
         PlatformCall call;
@@ -144,7 +149,7 @@
 {
     TimePoint next = TimePoint::max();
     for (const auto &[digest, decision] : m_decisions) {
-        next = decision.callId == 0 ? std::min(next, decision.dueAt) : next;
+        next = decision.callId == 0 ? std::min(next, decision.nextAttempt) : next;
     }
     return next;
 }
