--- a/include/harelink/Kernel/piecebatcher.h
+++ b/include/harelink/Kernel/piecebatcher.h
@@ -158,7 +158,7 @@
         std::uint32_t unreachable = 0; ///< Consecutive failed connection attempts.
         std::uint32_t refusals = 0;    ///< Consecutive refused calls.
     };
-    /// The state of one pool, or of one part of a divided pool.
+    /// The state of one pool, or of one partition of a divided pool.
     struct PoolQueue
     {
         std::vector<QueuedPiece> waiting;
@@ -231,7 +231,7 @@
                                          const Snapshot &snapshot) const;
 
     const Clock &m_clock;
-    std::map<std::string, PoolQueue> m_queues; ///< By pool, or by part if it is divided.
+    std::map<std::string, PoolQueue> m_queues; ///< By pool, or by partition if it is divided.
     std::uint64_t m_nextCallId = 1;
     std::vector<PieceCall> m_calls;
     /// By host and pool.
--- a/include/harelink/Kernel/pieceforecast.h
+++ b/include/harelink/Kernel/pieceforecast.h
@@ -36,8 +36,8 @@
     std::uint32_t count = 1;
     int priority = 0;
     PieceTransfers transfers;
-    std::string avoid;               ///< The part of the pool that failed these pieces, if any.
-    std::uint64_t selectionHash = 0; ///< Selects the part to compare the nearest one with.
+    std::string avoid; ///< The partition of the pool that failed these pieces, if any.
+    std::uint64_t selectionHash = 0; ///< Selects the partition to compare the nearest one with.
 
     /// Returns the hash for \p stage of \p request, which is the same for all forecasts and
     /// for the order.
@@ -45,16 +45,16 @@
                                                        std::uint32_t stage);
 };
 
-/// Returns the part of \p pool that should compute \p group, or the pool itself if it is not
-/// divided. This is the part with the lowest transfer cost, unless one other part, selected
-/// by the group's hash, is predicted to complete the group clearly sooner with the transfer
-/// cost included.
+/// Returns the partition of \p pool that should compute \p group, or the pool itself if it is not
+/// divided. This is the partition with the lowest transfer cost, unless one other partition,
+/// selected by the group's hash, is predicted to complete the group clearly sooner with the
+/// transfer cost included.
 ///
-/// Only one other part is considered because forecasts are up to 0.5 s old and the same at
-/// all daemons. When each daemon chose the best part, all chose the same one: 72% of the
+/// Only one other partition is considered because forecasts are up to 0.5 s old and the same at
+/// all daemons. When each daemon chose the best partition, all chose the same one: 72% of the
 /// groups changed their data centre, and pieces waited for 1 s in pools at 70% of their capacity.
-[[nodiscard]] const PoolEntry &choosePart(const Snapshot &snapshot, const PoolEntry &pool,
-                                          const PieceGroup &group, TimePoint now);
+[[nodiscard]] const PoolEntry &choosePartition(const Snapshot &snapshot, const PoolEntry &pool,
+                                               const PieceGroup &group, TimePoint now);
 /// Records the backlog that the batcher of \p pool reported.
 void recordBacklog(const PoolEntry &pool, const PieceBacklog &backlog, TimePoint now);
 /// Records that \p pieces more pieces were ordered from \p pool.
--- a/include/harelink/Kernel/piecerouter.h
+++ b/include/harelink/Kernel/piecerouter.h
@@ -89,7 +89,7 @@
     struct Pending
     {
         std::string pool;
-        std::string part; ///< Where it was ordered: the pool, or a part of it.
+        std::string partition; ///< Where it was ordered: the pool, or a partition of it.
         PieceOrder order;
         TimePoint objective;
         TimePoint deadline;
@@ -101,12 +101,13 @@
     /// A result that belongs to a request of this daemon.
     struct Result
     {
-        std::string part; ///< As in Pending.
+        std::string partition; ///< As in Pending.
         TimePoint completedAt;
     };
 
-    const std::string &batcherOf(const std::string &part, const Snapshot &snapshot);
-    [[nodiscard]] std::string findBatcher(const std::string &part, const Snapshot &snapshot) const;
+    const std::string &batcherOf(const std::string &partition, const Snapshot &snapshot);
+    [[nodiscard]] std::string findBatcher(const std::string &partition,
+                                          const Snapshot &snapshot) const;
     void dispatch(std::vector<Pending> group, const Snapshot &snapshot);
     [[nodiscard]] bool mayResubmit(const Pending &pending, const Snapshot &snapshot);
     void resubmit(const PieceId &id, PieceFault fault, const Snapshot &snapshot);
@@ -114,7 +115,7 @@
     RetryBudget &budgetOf(const std::string &pool);
     void dropOldResults();
 
-    /// The cached batcher of a part, with the version of the host lists it was selected from.
+    /// The cached batcher of a partition, with the version of the host lists it was selected from.
     struct Batcher
     {
         std::string host;
@@ -134,7 +135,7 @@
     std::vector<std::pair<std::string, PieceFrees>> m_frees;
     TimePoint m_nextSweep = TimePoint::min();
     std::uint64_t m_resubmissions = 0;
-    std::map<std::string, Batcher> m_batchers; ///< By part.
+    std::map<std::string, Batcher> m_batchers; ///< By partition.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/pieces.h
+++ b/include/harelink/Kernel/pieces.h
@@ -112,7 +112,7 @@
     double correction = 1; ///< Ratio of measured to predicted completion time.
 };
 
-/// Message: compute these pieces in \p pool, which may be a part of a divided pool. Sent
+/// Message: compute these pieces in \p pool, which may be a partition of a divided pool. Sent
 /// by the daemon of the requests to the batcher.
 struct PieceOrders
 {
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -151,7 +151,7 @@
         group.transfers.resultsDataCentre = wantedAt;
         group.selectionHash =
             PieceGroup::selectionHashOf(request.id, static_cast<std::uint32_t>(i));
-        const PoolEntry &part = choosePart(snapshot, *pool, group, m_clock.now());
+        const PoolEntry &part = choosePartition(snapshot, *pool, group, m_clock.now());
         times[i] = predictCompletion(part, count, request.priority, m_clock.now());
     }
     return times;
--- a/lib/Kernel/pieceforecast.cpp
+++ b/lib/Kernel/pieceforecast.cpp
@@ -27,46 +27,47 @@
     return hash64(fmt::format("{}/{}/{}", request.incarnation, request.sequence, stage));
 }
 
-const PoolEntry &choosePart(const Snapshot &snapshot, const PoolEntry &pool,
-                            const PieceGroup &group, TimePoint now)
+const PoolEntry &choosePartition(const Snapshot &snapshot, const PoolEntry &pool,
+                                 const PieceGroup &group, TimePoint now)
 {
-    const auto isUsablePart = [now](const PoolEntry &part) {
-        return std::any_of(part.endpoints.begin(), part.endpoints.end(),
+    const auto isUsablePartition = [now](const PoolEntry &partition) {
+        return std::any_of(partition.endpoints.begin(), partition.endpoints.end(),
                            [now](const EndpointEntry &entry) { return isUsable(entry, now); });
     };
     const PoolEntry *avoided = nullptr; // Used only if no other part is usable.
-    std::vector<const PoolEntry *> parts;
+    std::vector<const PoolEntry *> partitions;
     for (const std::string &name : pool.partitions) {
-        const PoolEntry *part = snapshot.poolOrPartition(name);
-        if (!isUsablePart(*part)) {
+        const PoolEntry *partition = snapshot.poolOrPartition(name);
+        if (!isUsablePartition(*partition)) {
             continue;
         }
         if (name == group.avoid) {
-            avoided = part;
+            avoided = partition;
         } else {
-            parts.push_back(part);
+            partitions.push_back(partition);
         }
     }
-    if (parts.empty()) {
+    if (partitions.empty()) {
         return avoided == nullptr ? pool : *avoided;
     }
-    const auto nearest = std::min_element(parts.begin(), parts.end(),
+    const auto nearest = std::min_element(partitions.begin(), partitions.end(),
                                           [&group](const PoolEntry *a, const PoolEntry *b) {
                                               return transferCost(group.transfers, a->dataCentre)
                                                      < transferCost(group.transfers, b->dataCentre);
                                           });
-    const PoolEntry *nearestPart = *nearest;
-    parts.erase(nearest);
-    if (parts.empty()) {
-        return *nearestPart;
+    const PoolEntry *nearestPartition = *nearest;
+    partitions.erase(nearest);
+    if (partitions.empty()) {
+        return *nearestPartition;
     }
-    const PoolEntry *sampledPart = parts[group.selectionHash % parts.size()];
-    const auto predicted = [&](const PoolEntry &part) {
-        return predictCompletion(part, group.count, group.priority, now)
-               + transferCost(group.transfers, part.dataCentre);
+    const PoolEntry *sampledPartition = partitions[group.selectionHash % partitions.size()];
+    const auto predicted = [&](const PoolEntry &partition) {
+        return predictCompletion(partition, group.count, group.priority, now)
+               + transferCost(group.transfers, partition.dataCentre);
     };
-    return predicted(*sampledPart) + minTransferGain < predicted(*nearestPart) ? *sampledPart
-                                                                               : *nearestPart;
+    return predicted(*sampledPartition) + minTransferGain < predicted(*nearestPartition)
+               ? *sampledPartition
+               : *nearestPartition;
 }
 
 Duration predictCompletion(const PoolEntry &pool, std::uint32_t pieces, int priority, TimePoint now)
--- a/lib/Kernel/piecerouter.cpp
+++ b/lib/Kernel/piecerouter.cpp
@@ -65,7 +65,7 @@
 }
 
 /// Sends a group of pieces of one pool to the batcher of the pool, or to the batcher of the
-/// part that choosePart() selects. Avoids a part that failed the group before.
+/// partition that choosePartition() selects. Avoids a partition that failed the group before.
 void PieceRouter::dispatch(std::vector<Pending> group, const Snapshot &snapshot)
 {
     if (group.empty()) {
@@ -79,20 +79,20 @@
     Duration predicted{};
     if (const PoolEntry *pool = snapshot.pool(group.front().pool)) {
         const PieceOrder &first = group.front().order;
-        const PoolEntry &part =
-            choosePart(snapshot, *pool,
-                       {count, priority, transfersOf(first, count), group.front().part,
-                        PieceGroup::selectionHashOf(first.id.request, first.id.stage)},
-                       now);
-        send.orders.pool += part.dataCentre.empty() ? "" : "/" + part.dataCentre;
-        predicted = predictCompletion(part, count, priority, now);
-        recordOrdered(part, count, priority);
+        const PoolEntry &partition =
+            choosePartition(snapshot, *pool,
+                            {count, priority, transfersOf(first, count), group.front().partition,
+                             PieceGroup::selectionHashOf(first.id.request, first.id.stage)},
+                            now);
+        send.orders.pool += partition.dataCentre.empty() ? "" : "/" + partition.dataCentre;
+        predicted = predictCompletion(partition, count, priority, now);
+        recordOrdered(partition, count, priority);
     }
     send.host = batcherOf(send.orders.pool, snapshot);
     for (Pending &pending : group) {
         ++pending.attempts;
         pending.batcher = send.host;
-        pending.part = send.orders.pool;
+        pending.partition = send.orders.pool;
         pending.sentAt = now;
         pending.checkAt = now + predicted * resubmitTimeoutFactor + resubmitTimeoutSlack;
         pending.order.untilObjective = pending.objective - now;
@@ -104,26 +104,26 @@
     m_orders.push_back(std::move(send));
 }
 
-/// Returns the batcher of \p part. The choice is cached; it is renewed when the host lists change,
-/// and after batcherCacheTtl, since a batcher may have become unreachable.
-const std::string &PieceRouter::batcherOf(const std::string &part, const Snapshot &snapshot)
+/// Returns the batcher of \p partition. The choice is cached; it is renewed when the host lists
+/// change, and after batcherCacheTtl, since a batcher may have become unreachable.
+const std::string &PieceRouter::batcherOf(const std::string &partition, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    Batcher &batcher = m_batchers[part];
+    Batcher &batcher = m_batchers[partition];
     const std::uint64_t version = m_membership.listsVersion();
     const bool isStale =
         now - batcher.selectedAt >= batcherCacheTtl || batcher.listsVersion != version;
     if (batcher.host.empty() || isStale) {
-        batcher = {findBatcher(part, snapshot), now, version};
+        batcher = {findBatcher(partition, snapshot), now, version};
     }
     return batcher.host;
 }
 
-std::string PieceRouter::findBatcher(const std::string &part, const Snapshot &snapshot) const
+std::string PieceRouter::findBatcher(const std::string &partition, const Snapshot &snapshot) const
 {
     std::string best = m_membership.host();
     std::uint64_t bestScore = 0;
-    const PoolEntry *entry = snapshot.poolOrPartition(part);
+    const PoolEntry *entry = snapshot.poolOrPartition(partition);
     std::vector<std::string> hosts;
     if (entry != nullptr && !entry->dataCentre.empty()) {
         hosts = m_membership.likelyLiveWithin(batcherTimeout, entry->dataCentre);
@@ -132,7 +132,7 @@
         hosts = m_membership.likelyLiveWithin(batcherTimeout, {});
     }
     for (const std::string &host : m_membership.highCapacityHosts(hosts)) {
-        const std::uint64_t score = hash64(fmt::format("pieces/{}/{}", part, host));
+        const std::uint64_t score = hash64(fmt::format("pieces/{}/{}", partition, host));
         if (score >= bestScore) {
             best = host;
             bestScore = score;
@@ -163,19 +163,19 @@
 
 void PieceRouter::free(const std::vector<std::string> &handles, const Snapshot &snapshot)
 {
-    std::map<std::string, PieceFrees> byPart;
+    std::map<std::string, PieceFrees> byPartition;
     for (const std::string &handle : handles) {
         const auto result = m_results.find(handle);
         if (result == m_results.end()) {
             continue; // The result has expired at its endpoint.
         }
-        PieceFrees &frees = byPart[result->second.part];
-        frees.pool = result->second.part;
+        PieceFrees &frees = byPartition[result->second.partition];
+        frees.pool = result->second.partition;
         frees.handles.push_back(handle);
         m_results.erase(result);
     }
-    for (auto &[part, frees] : byPart) {
-        m_frees.emplace_back(batcherOf(part, snapshot), std::move(frees));
+    for (auto &[partition, frees] : byPartition) {
+        m_frees.emplace_back(batcherOf(partition, snapshot), std::move(frees));
     }
 }
 
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -206,7 +206,7 @@
         group.transfers.resultBytes = 1000;
         group.selectionHash = PieceGroup::selectionHashOf({7, i}, 0);
         chosen.insert(
-            choosePart(*snapshot, *snapshot->pool("pieces"), group, TimePoint()).dataCentre);
+            choosePartition(*snapshot, *snapshot->pool("pieces"), group, TimePoint()).dataCentre);
     }
     CHECK(!chosen.contains("dc2"));
     CHECK(!chosen.contains(""));
--- a/unittests/Kernel/piecepartstest.cpp
+++ b/unittests/Kernel/piecepartitionstest.cpp
@@ -45,7 +45,7 @@
             group.transfers.resultsDataCentre = wanted;
             group.transfers.resultBytes = 1000;
             group.selectionHash = PieceGroup::selectionHashOf({7, i}, 0);
-            ++counts[choosePart(*snapshot, pool(), group, now).dataCentre];
+            ++counts[choosePartition(*snapshot, pool(), group, now).dataCentre];
         }
         return counts;
     }
@@ -56,9 +56,9 @@
 
 } // namespace
 
-TEST_GROUP(PieceParts){};
+TEST_GROUP(PiecePartitions){};
 
-TEST(PieceParts, ALargePoolHasOneForEachDataCentre)
+TEST(PiecePartitions, ALargePoolHasOneForEachDataCentre)
 {
     const Bench bench;
     LONGS_EQUAL(3, bench.pool().partitions.size());
@@ -68,7 +68,7 @@
     CHECK(Bench(5).pool().partitions.empty());
 }
 
-TEST(PieceParts, PiecesAreMadeWhereTheirResultsAreNeeded)
+TEST(PiecePartitions, PiecesAreMadeWhereTheirResultsAreNeeded)
 {
     const Bench bench;
     LONGS_EQUAL(300, bench.choices("dc2")["dc2"]);
@@ -77,7 +77,7 @@
     LONGS_EQUAL(300, bench.choices("dc2")["dc2"]);
 }
 
-TEST(PieceParts, WhatIsTooBusyIsLeftForAllOthersAlike)
+TEST(PiecePartitions, WhatIsTooBusyIsLeftForAllOthersAlike)
 {
     const Bench bench;
     bench.setWaiting("dc2", 60);
@@ -88,22 +88,22 @@
     CHECK(counts.at("dc3") > 100);
 }
 
-TEST(PieceParts, APartThatFailedOrHasNoEndpointIsPassedOver)
+TEST(PiecePartitions, APartThatFailedOrHasNoEndpointIsPassedOver)
 {
     const Bench bench;
     PieceGroup group;
     group.transfers.resultsDataCentre = "dc2";
     group.transfers.resultBytes = 1000;
     group.avoid = "pieces/dc2";
-    CHECK(choosePart(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
+    CHECK(choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
     group.avoid.clear();
     for (const EndpointEntry &endpoint : bench.snapshot->poolOrPartition("pieces/dc2")->endpoints) {
         markLeaving(*bench.snapshot, endpoint.spec.name);
     }
-    CHECK(choosePart(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
+    CHECK(choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
 }
 
-TEST(PieceParts, InputsThatEachPieceReadsWeighMoreThanTheResults)
+TEST(PiecePartitions, InputsThatEachPieceReadsWeighMoreThanTheResults)
 {
     const Bench bench;
     PieceOrder order = pieceOrder(1);
@@ -114,7 +114,7 @@
     PieceGroup group;
     group.count = 16;
     group.transfers = transfersOf(order, 16);
-    STRCMP_EQUAL("dc3",
-                 choosePart(*bench.snapshot, bench.pool(), group, bench.now).dataCentre.c_str());
+    STRCMP_EQUAL(
+        "dc3", choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre.c_str());
     CHECK(transferCost(group.transfers, "dc1") > transferCost(group.transfers, "dc3") * 50);
 }
