--- a/include/harelink/Kernel/endpointlimits.h
+++ b/include/harelink/Kernel/endpointlimits.h
@@ -1,7 +1,7 @@
-//===- harelink/Kernel/endpointlimits.h - Stated rate limits ----*- C++ -*-===//
+//===- harelink/Kernel/endpointlimits.h - Announced rate limits -*- C++ -*-===//
 ///
 /// \file
-/// The rate limits that endpoints have stated, as far as this daemon knows.
+/// Tracks the rate limits that endpoints have announced to this daemon or its peers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,56 +17,57 @@
 
 namespace harelink {
 
-/// What an endpoint last said of its rate limit.
+/// The last announcement of an endpoint's rate limit.
 struct LimitAnnouncement
 {
-    std::optional<double> perSecond; ///< Requests from all hosts; absent once it is lifted.
-    TimePoint at;                    ///< Not later than the answer that says so was made.
+    std::optional<double> perSecond; ///< Requests from all hosts; std::nullopt if lifted.
+    TimePoint at;                    ///< Not later than the answer that contains it.
 };
 
-/// Event: an endpoint has stated or lifted its limit. Output: its limit is another one now.
+/// As an event: an endpoint has announced or lifted its limit. As an output: its limit has
+/// changed.
 struct EndpointLimitAnnounced
 {
     std::string endpoint;
     LimitAnnouncement announcement;
 };
 
-/// What a host tells its peers of a limit.
+/// A limit as reported to peers.
 struct EndpointLimitReport
 {
     std::string endpoint;
     std::optional<double> perSecond; ///< As in LimitAnnouncement.
-    Duration age{};                  ///< Of the statement, as of the sending.
+    Duration age{};                  ///< Of the announcement when the report is sent.
 };
 
-/// The newest statement of each endpoint that has stated a limit. The later one holds,
-/// whatever the order in which they are recorded.
+/// Stores the newest announcement of each endpoint that has announced a limit. The later of two
+/// announcements wins, regardless of the order in which they are recorded.
 class EndpointLimits
 {
 public:
-    /// Records a statement that \p endpoint has made to this host; whether its limit is
-    /// another one now.
+    /// Records an announcement of \p endpoint to this host. Returns whether its limit has
+    /// changed.
     bool record(const std::string &endpoint, const LimitAnnouncement &announcement, TimePoint now);
-    /// Records what a peer tells; whether the limit is another one now.
+    /// Records a report of a peer. Returns whether the limit has changed.
     bool recordReport(const EndpointLimitReport &report, TimePoint now);
-    /// What to tell peers: the limits in force, and those that were lifted a short time ago.
-    /// Bounded; the newest statements go first.
+    /// Returns the reports for peers: the limits in force, and those that were lifted recently.
+    /// If there are too many, only the newest announcements are returned.
     [[nodiscard]] std::vector<EndpointLimitReport> reports(TimePoint now) const;
-    /// Forgets the endpoints for which \p isDeclared is false.
+    /// Removes the endpoints for which \p isDeclared returns false.
     template <typename IsDeclared>
     void keepOnly(const IsDeclared &isDeclared)
     {
         std::erase_if(m_entries,
                       [&isDeclared](const auto &entry) { return !isDeclared(entry.first); });
     }
-    /// The limits in force.
+    /// Returns the limits in force.
     [[nodiscard]] std::vector<EndpointLimitAnnounced> inForce() const;
 
 private:
     struct Entry
     {
         LimitAnnouncement announcement;
-        TimePoint reportUntil; ///< Where the limit is lifted.
+        TimePoint reportUntil; ///< If the limit is lifted: end of reports to peers.
     };
 
     bool replace(Entry &entry, const LimitAnnouncement &announcement, TimePoint now);
--- a/include/harelink/Kernel/latency.h
+++ b/include/harelink/Kernel/latency.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/latency.h - Predicted times --------------*- C++ -*-===//
+//===- harelink/Kernel/latency.h - Latency prediction -----------*- C++ -*-===//
 ///
 /// \file
-/// A decayed quantile of the time that a pool needs for a call, scaled by the
-/// size of the request.
+/// Predicts the latency of calls to a pool from a decaying quantile, scaled by
+/// the size of the request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,27 +15,27 @@
 
 namespace harelink {
 
-/// What \p estimate is worth so long after its last sample: it halves with each second, after
-/// the first.
+/// Returns \p estimate after decay for \p sinceLastSample: unchanged for the first second, then
+/// halved with each second.
 [[nodiscard]] Duration decayedEstimate(Duration estimate, Duration sinceLastSample);
 
-/// Follows one quantile of a stream of times without keeping them.
+/// Estimates one quantile of a stream of durations without storing them.
 ///
-/// Each sample moves the estimate by a fixed share of itself, up when the
-/// sample is above and down when it is below, in the proportion that makes the
-/// wanted quantile its resting point. A tenfold slowdown is followed within
-/// some thirty samples.
+/// Each sample moves the estimate by a fixed fraction of itself: up if the
+/// sample is above it, down if below, in the ratio for which the estimate
+/// converges to the quantile. A tenfold slowdown is tracked within about 30
+/// samples.
 class QuantileEstimate
 {
 public:
-    /// \param quantile in (0, 1).
+    /// \param quantile Target quantile in (0, 1).
     explicit QuantileEstimate(double quantile)
         : m_quantile(quantile)
     {
     }
-    /// Takes in one sample.
+    /// Adds a sample.
     void add(Duration sample);
-    /// The estimate; zero before the first sample.
+    /// Returns the estimate; zero before the first sample.
     [[nodiscard]] Duration value() const;
 
 private:
@@ -43,16 +43,16 @@
     double m_seconds = 0;
 };
 
-/// Predicts the time of one call to one pool.
+/// Predicts the latency of calls to one pool.
 class LatencyModel
 {
 public:
-    /// Takes in that a call of \p bytes took \p elapsed.
+    /// Records that a call of \p bytes took \p elapsed.
     void add(TimePoint now, std::size_t bytes, Duration elapsed);
-    /// The time half the calls of \p bytes need; zero while nothing is known.
+    /// Returns the median latency of calls of \p bytes; zero before the first sample.
     ///
-    /// Without new samples it fades: a pool that is taken to be too slow is sent
-    /// nothing, and could otherwise never show that it is fast again.
+    /// The estimate decays without new samples: a pool that is assumed to be too slow gets no
+    /// calls, and could otherwise never show that it has recovered.
     [[nodiscard]] Duration median(TimePoint now, std::size_t bytes) const;
 
 private:
--- a/include/harelink/Kernel/load.h
+++ b/include/harelink/Kernel/load.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/load.h - Counters shared by workers ------*- C++ -*-===//
+//===- harelink/Kernel/load.h - Load counters shared by workers -*- C++ -*-===//
 ///
 /// \file
-/// The counters that all workers of a daemon share on a request's path. Each
-/// is an atomic; none is behind a lock.
+/// Counters on the request path that all workers of a daemon share. Each is an
+/// atomic; none is guarded by a lock.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,21 +21,21 @@
 
 namespace harelink {
 
-/// \p time as the loads hold it: nanoseconds of the steady clock.
+/// Converts \p time to nanoseconds of the steady clock, the format of the load counters.
 [[nodiscard]] inline std::int64_t steadyNanos(TimePoint time)
 {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(time.time_since_epoch()).count();
 }
 
-/// The time that the loads hold as \p nanos.
+/// Converts \p nanos, in the format of the load counters, to a time.
 [[nodiscard]] inline TimePoint fromSteadyNanos(std::int64_t nanos)
 {
     return TimePoint(std::chrono::nanoseconds(nanos));
 }
 
-/// How much of a pool's time one account has used lately.
+/// Measures how much of a pool's time one account used recently.
 ///
-/// A ring of short windows, so that old use is forgotten without a sweep.
+/// A ring of short windows, so that old usage expires without a sweep.
 class UsageMeter
 {
 public:
@@ -43,13 +43,13 @@
     static constexpr std::chrono::milliseconds windowLength{250};
     static constexpr std::size_t windowCount = 8;
 
-    /// Adds own use, which may be negative to correct an estimate.
+    /// Adds usage by this daemon; \p cost may be negative to correct an estimate.
     void add(TimePoint now, Duration cost);
-    /// Adds use that a peer told of.
+    /// Adds usage that a peer reported.
     void addFromPeer(TimePoint now, Duration cost);
-    /// The own use since the last call, for telling peers.
+    /// Returns the usage by this daemon since the last call, to be reported to peers.
     [[nodiscard]] Duration drainOwnUsage();
-    /// The sum over the last windowCount windows.
+    /// Returns the usage in the last windowCount windows.
     [[nodiscard]] Duration recent(TimePoint now) const;
 
 private:
@@ -58,70 +58,70 @@
     std::array<std::atomic<std::uint64_t>, windowCount> m_slots{};
 };
 
-/// What this daemon knows of one endpoint's load and health.
+/// Load and health of one endpoint, as known to this daemon.
 struct EndpointLoad
 {
-    std::atomic<int> inFlight{0};               ///< Own calls in progress.
-    std::atomic<int> limit{0};                  ///< Own calls allowed at once; learnt.
-    std::atomic<std::int64_t> latencyMicros{0}; ///< Smoothed time of a call.
-    std::atomic<int> reportedActive{0};         ///< Last load report: calls in progress.
-    std::atomic<int> failures{0};               ///< In a row.
+    std::atomic<int> inFlight{0}; ///< Calls of this daemon in flight.
+    std::atomic<int> limit{0};    ///< Concurrent calls allowed to this daemon; adapted.
+    std::atomic<std::int64_t> latencyMicros{0}; ///< Smoothed latency of a call.
+    std::atomic<int> reportedActive{0};         ///< Calls in flight by its last load report.
+    std::atomic<int> failures{0};               ///< Consecutive failures.
     std::atomic<std::int64_t> ejectedUntil{0};  ///< Nanoseconds of the steady clock.
-    std::atomic<std::int64_t> fullUntil{0};     ///< After a refusal; nanoseconds as above.
-    std::atomic<std::int64_t> progressAt{0};    ///< Last answer, or first send of those open.
-    std::atomic<bool> leaving{false};           ///< Never goes back to false.
+    std::atomic<std::int64_t> fullUntil{0};     ///< Set after a refusal; nanoseconds as above.
+    std::atomic<std::int64_t> progressAt{0};    ///< Last answer, or first send after idling.
+    std::atomic<bool> leaving{false};           ///< Never reset to false.
     std::atomic<std::int64_t> coldUntil{0};     ///< Nanoseconds of the steady clock.
-    std::atomic<std::int64_t> coldInterval{0};  ///< Between own sends while cold; 0 for none.
-    std::atomic<std::int64_t> warmUntil{0};     ///< It said so itself; nanoseconds as above.
-    std::atomic<std::int64_t> checkedUntil{0};  ///< A status check is under way, or has failed.
+    std::atomic<std::int64_t> coldInterval{0};  ///< Between own sends while cold; 0: no sends.
+    std::atomic<std::int64_t> warmUntil{0};     ///< Self-reported; nanoseconds as above.
+    std::atomic<std::int64_t> checkedUntil{0};  ///< While a status check runs, or after it failed.
     std::atomic<std::int64_t> sentAt{0};        ///< Last own send; nanoseconds as above.
-    std::atomic<std::int64_t> pausedUntil{0};   ///< At its request; nanoseconds as above.
-    std::atomic<bool> isLimited{false};         ///< It last stated a rate limit.
-    std::atomic<std::int64_t> sendInterval{0};  ///< Between own sends; 0 without a limit.
-    std::atomic<std::int64_t> nextSendAt{0};    ///< With a limit; nanoseconds as above.
-    /// With a limit: nanoseconds after which a turn that was not used is lost; 0 for never.
+    std::atomic<std::int64_t> pausedUntil{0};   ///< Requested by it; nanoseconds as above.
+    std::atomic<bool> isLimited{false};         ///< Whether it has announced a rate limit.
+    std::atomic<std::int64_t> sendInterval{0};  ///< Between own sends; 0 if there is no limit.
+    std::atomic<std::int64_t> nextSendAt{0}; ///< Next send slot if limited; nanoseconds as above.
+    /// If limited: nanoseconds after which an unused send slot expires; 0 if it never does.
     std::atomic<std::int64_t> slotLength{0};
 
-    /// Of model engines: tokens of prompts that were sent and of which no answer came yet.
-    std::atomic<std::int64_t> prefillBacklog{0};     ///< Sent by this daemon.
-    std::atomic<std::int64_t> peerPrefillBacklog{0}; ///< As the peers last told.
+    /// Of model engines: uncached tokens of prompts that were sent and not answered yet.
+    std::atomic<std::int64_t> prefillBacklog{0};     ///< Of prompts sent by this daemon.
+    std::atomic<std::int64_t> peerPrefillBacklog{0}; ///< As last reported by peers.
 };
 
-/// What this daemon knows of its own state.
+/// State of this daemon.
 struct DaemonLoad
 {
-    /// Until when it receives changes of endpoints, from the platform or from a peer that
+    /// Until when it receives updates of endpoints, from the platform or from a peer that
     /// does; nanoseconds of the steady clock.
     std::atomic<std::int64_t> endpointUpdatesUntil{std::numeric_limits<std::int64_t>::max()};
 };
 
-/// How busy the endpoints of a pool that works in pieces are, as its batcher last told.
+/// Load of a pool that works in pieces, as last reported by its batcher.
 struct PieceLoad
 {
-    std::atomic<std::int64_t> freeAt{0}; ///< When the first can take a call; steady nanoseconds.
-    std::atomic<int> endpoints{0};       ///< That take calls; 0 where nothing is known.
-    /// Pieces in no call yet, own orders since included; by class of urgency.
+    std::atomic<std::int64_t> freeAt{0}; ///< First time an endpoint is free; steady nanoseconds.
+    std::atomic<int> endpoints{0};       ///< That accept calls; 0 if unknown.
+    /// Pieces not in a call yet, including those ordered since the report; by priority class.
     std::array<std::atomic<int>, priorityClassCount> waiting{};
-    std::atomic<int> slownessPercent{100};   ///< The time of calls against the declared one.
-    std::atomic<int> correctionPercent{100}; ///< The time until pieces are made, against the
-                                             ///< forecast without this.
+    std::atomic<int> slownessPercent{100};   ///< Measured call time relative to the declared one.
+    std::atomic<int> correctionPercent{100}; ///< Measured time until completion of a piece relative
+                                             ///< to the uncorrected forecast.
 };
 
-/// What one client account has of one pool and wants of it.
+/// Usage of one pool and demand for it by one client account.
 struct AccountLoad
 {
     UsageMeter usageMeter;
-    std::atomic<int> demand{0};     ///< Own calls, in flight and waiting.
-    std::atomic<int> inFlight{0};   ///< Own calls in flight.
-    std::atomic<int> peerDemand{0}; ///< As the peers last told.
+    std::atomic<int> demand{0};     ///< Calls of this daemon, in flight and waiting.
+    std::atomic<int> inFlight{0};   ///< Calls of this daemon in flight.
+    std::atomic<int> peerDemand{0}; ///< As last reported by peers.
 };
 
-/// Counts one in a counter for as long as it lives.
+/// Increments a counter for its lifetime.
 class ScopedCount
 {
 public:
     ScopedCount() = default;
-    /// \param count may be null: then nothing is counted.
+    /// \param count The counter; may be null.
     explicit ScopedCount(std::shared_ptr<std::atomic<int>> count)
         : m_count(std::move(count))
     {
@@ -138,8 +138,8 @@
     ScopedCount(ScopedCount &&other) noexcept = default;
     ScopedCount &operator=(ScopedCount &&other) noexcept
     {
-        ScopedCount taken(std::move(other));
-        std::swap(m_count, taken.m_count);
+        ScopedCount moved(std::move(other));
+        std::swap(m_count, moved.m_count);
         return *this;
     }
 
--- a/include/harelink/Kernel/pooldemand.h
+++ b/include/harelink/Kernel/pooldemand.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/pooldemand.h - Who still needs a pool ----*- C++ -*-===//
+//===- harelink/Kernel/pooldemand.h - Pending demand for a pool -*- C++ -*-===//
 ///
 /// \file
-/// Counts the requests of one worker that still need a pool, whether they wait
-/// for it or are at an earlier stage, and tells how long a new one would wait.
+/// Counts the requests of one worker that still need a pool, either waiting for
+/// it or at an earlier stage, and computes the queue position of a new request.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,22 +17,22 @@
 
 namespace harelink {
 
-/// Counts by account.
+/// Pending requests by account.
 class PoolDemand
 {
 public:
-    /// A request of \p account needs the pool.
+    /// Adds a request of \p account that needs the pool.
     void add(const std::string &account);
-    /// One that was added was sent there, or ended.
+    /// Removes a request of \p account that was sent to the pool or has ended.
     void remove(const std::string &account);
-    /// How many requests of all accounts would go before a new one of
+    /// Returns the number of requests of all accounts that would be sent before a new one of
     /// \p account, if each account gets its share.
     [[nodiscard]] double requestsAhead(const Snapshot &snapshot, const std::string &account) const;
-    /// How many requests of all accounts need the pool.
+    /// Returns the number of requests of all accounts that need the pool.
     [[nodiscard]] std::size_t size() const { return m_size; }
 
 private:
-    std::map<std::string, std::size_t> m_accounts; // Only those that need it.
+    std::map<std::string, std::size_t> m_accounts; // Only those with requests.
     std::size_t m_size = 0;
 };
 
--- a/include/harelink/Kernel/queuepace.h
+++ b/include/harelink/Kernel/queuepace.h
@@ -1,7 +1,7 @@
-//===- harelink/Kernel/queuepace.h - How fast a queue moves -----*- C++ -*-===//
+//===- harelink/Kernel/queuepace.h - Dispatch rate of a queue ---*- C++ -*-===//
 ///
 /// \file
-/// The time between two requests that one worker sends on from its queue of a pool.
+/// Estimates the time between two dispatches from one worker's queue of a pool.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,37 +14,38 @@
 
 namespace harelink {
 
-/// Learns how fast a queue moves while the endpoints of its pool take calls.
+/// Estimates the dispatch interval of a queue while the endpoints of its pool accept calls.
 ///
-/// Times in which no endpoint may be sent to are no samples: the queue moves on as before once
-/// one may. Without samples the estimate fades, as it says less and less of the load.
+/// Periods in which no endpoint may be sent to are not sampled, since dispatch resumes at the
+/// earlier rate afterwards. Without samples the estimate decays, because it no longer reflects
+/// the load.
 class QueuePace
 {
 public:
-    /// A request waits where none did.
+    /// Records that a request waits in a queue that was empty.
     void recordWaiting(TimePoint now);
-    /// A waiting request was sent.
+    /// Records that a waiting request was sent.
     void recordDispatch(TimePoint now);
-    /// Requests wait for room at endpoints that take calls.
+    /// Records that requests wait for a free slot at endpoints that accept calls.
     void recordFull(TimePoint now);
-    /// Requests wait, and no endpoint may be sent to, whatever its load; or this process stood
-    /// still.
+    /// Records that requests wait and no endpoint may be sent to, regardless of its load; or that
+    /// this process was suspended.
     void recordUnavailable() { m_sampleFrom.reset(); }
-    /// As recordUnavailable(), and no endpoint could be reached lately.
+    /// Like recordUnavailable(); also records that no endpoint could be reached recently.
     void recordUnreachable(TimePoint now);
 
-    /// The time from one dispatch to the next that a new request has to expect.
-    /// \param isWaiting whether requests wait now.
+    /// Returns the expected time from one dispatch to the next.
+    /// \param isWaiting Whether requests wait now.
     [[nodiscard]] Duration interval(TimePoint now, bool isWaiting) const;
-    /// For how long no endpoint could be reached; nothing where one can be, or where nobody
-    /// has tried lately.
+    /// Returns for how long no endpoint could be reached; std::nullopt if one can be reached, or
+    /// if there was no recent attempt.
     [[nodiscard]] std::optional<Duration> unreachableFor(TimePoint now) const;
 
 private:
     Duration m_smoothed{};
     TimePoint m_sampledAt;
-    std::optional<TimePoint> m_sampleFrom; ///< Nothing while the next dispatch is no sample.
-    TimePoint m_movedAt;                   ///< The last dispatch, or since when requests wait.
+    std::optional<TimePoint> m_sampleFrom; ///< Unset while the next dispatch is not sampled.
+    TimePoint m_movedAt;                   ///< Last dispatch, or start of waiting.
     std::optional<TimePoint> m_unreachableSince;
     TimePoint m_unreachableSeen;
 };
--- a/include/harelink/Kernel/rateshares.h
+++ b/include/harelink/Kernel/rateshares.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/rateshares.h - Parts of a stated rate ----*- C++ -*-===//
+//===- harelink/Kernel/rateshares.h - Shares of a rate limit ----*- C++ -*-===//
 ///
 /// \file
-/// How often one daemon may send to an endpoint that has stated a rate limit. All daemons
-/// together keep the limit without asking each other: each computes its own part from the
-/// limit and the number of hosts it knows of, those out of reach included.
+/// Computes how often one daemon may send to an endpoint that has announced a rate limit. The
+/// daemons keep the limit without coordination: each computes its own share from the limit and
+/// the number of known hosts, including unreachable ones.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,48 +19,51 @@
 
 namespace harelink {
 
-/// What an endpoint gets at most in any window, from all daemons: so many times what its
-/// limit allows, and so many requests more.
+/// The maximum number of requests that an endpoint gets from all daemons in any window: a multiple
+/// of what its limit allows, plus a constant.
 struct RateTolerance
 {
     static constexpr std::chrono::seconds window{4};
     static constexpr double factor = 1.5;
     static constexpr double extra = 5;
 
-    /// In one window, of an endpoint that accepts \p perSecond requests.
+    /// Returns the maximum number of requests in one window to an endpoint that accepts
+    /// \p perSecond requests.
     [[nodiscard]] static double requests(double perSecond)
     {
         return perSecond * std::chrono::duration<double>(window).count() * factor + extra;
     }
 };
 
-/// One daemon's part of an endpoint's rate.
+/// One daemon's share of an endpoint's rate limit.
 struct RateShare
 {
-    Duration interval{};   ///< Least time between two of its sends.
-    Duration firstDelay{}; ///< Before its first send.
-    Duration slotLength{}; ///< After which a turn that was not used is lost; zero for never.
+    Duration interval{};   ///< Minimum time between two sends.
+    Duration firstDelay{}; ///< Before the first send.
+    Duration slotLength{}; ///< After which an unused send slot expires; zero for never.
 };
 
-/// Computes the parts of one daemon.
+/// Computes the shares of one daemon.
 ///
-/// Where the tolerance has a place for each host in each window, every host sends. Else a
-/// hash of the host's and the endpoint's name draws the few that send once in a window; the
-/// others ask now and then whether the limit still stands, at times that the hash spreads.
+/// If the tolerance allows each host a request in each window, every host sends. Otherwise a
+/// hash of the host's and the endpoint's name selects the few hosts that send once per window;
+/// the others re-check at long intervals whether the limit is still in force, at times that the
+/// hash spreads.
 class RateShares
 {
 public:
-    /// Of a daemon that has just started: it knows too few hosts and has no part.
+    /// Creates the shares of a daemon that has just started: it knows too few hosts to get any.
     RateShares() = default;
-    /// \param knownHosts this one among them, whether they can be reached or not.
-    /// \param reachableHosts this one among them, that were heard lately.
+    /// \param knownHosts Number of known hosts, including this one and unreachable ones.
+    /// \param reachableHosts Number of hosts heard from recently, including this one.
     RateShares(std::string self, std::size_t knownHosts, std::size_t reachableHosts);
 
-    /// The part of this daemon of the \p perSecond requests that \p endpoint accepts; nothing
-    /// for a daemon that has no part yet.
+    /// Returns this daemon's share of the \p perSecond requests that \p endpoint accepts;
+    /// std::nullopt if the daemon has just started.
     [[nodiscard]] std::optional<RateShare> shareOf(const std::string &endpoint,
                                                    double perSecond) const;
-    /// The same at a pool to which, of the hosts that hear each other, one sends for all.
+    /// Like shareOf(), for a pool with a batcher: one host sends for all hosts that can reach
+    /// each other.
     [[nodiscard]] std::optional<RateShare> batcherShareOf(const std::string &endpoint,
                                                           double perSecond) const;
 
@@ -73,8 +76,8 @@
     double m_reachableHosts = 0;
 };
 
-/// Puts \p statement in force for the endpoint \p name of \p snapshot. A part that is about
-/// the same as the one in force leaves the next send where it was.
+/// Applies \p announcement to the endpoint named \p name of \p snapshot. If the share stays about
+/// the same, the next send slot does not move.
 void applyLimit(const Snapshot &snapshot, const std::string &name,
                 const LimitAnnouncement &announcement, const RateShares &shares, TimePoint now);
 
--- a/include/harelink/Kernel/slotshares.h
+++ b/include/harelink/Kernel/slotshares.h
@@ -1,16 +1,17 @@
-//===- harelink/Kernel/slotshares.h - Slots of a pool by account *- C++ -*-===//
+//===- harelink/Kernel/slotshares.h - Slot shares of accounts ---*- C++ -*-===//
 ///
 /// \file
-/// Divides the slots of a pool among the client accounts that want them, in
-/// proportion to their weights, and an account's part among the daemons, in
-/// proportion to what waits at each. A slot is an endpoint's time, so equal
-/// slots are equal cost. What an account does not want goes to the others
-/// (max-min fairness); while all demand fits, nobody is limited.
+/// Divides the slots of a pool among the client accounts with demand for them,
+/// in proportion to their weights, and the share of an account among the
+/// daemons, in proportion to their demand. A slot is a unit of an endpoint's
+/// time, so equal slots have equal cost. Slots that an account does not need go
+/// to the others (max-min fairness); no account is limited while all demand
+/// fits.
 ///
-/// Each daemon computes this for itself from its own demand and from what the
-/// others last told of theirs; nothing is agreed. Where daemons are cut off
-/// from each other, each divides the whole pool, and the endpoints' refusals
-/// keep the sum in bounds.
+/// Each daemon computes the shares from its own demand and from the demand last
+/// reported by its peers, without coordination. If daemons are partitioned from
+/// each other, each divides the whole pool, and endpoints bound the sum by
+/// refusing calls.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,25 +24,25 @@
 
 namespace harelink {
 
-/// The division of one pool.
+/// Divides the slots of one pool.
 class SlotShares
 {
 public:
-    /// Divides anew, if the last division is old enough.
+    /// Recomputes the shares if they are out of date.
     void update(const Snapshot &snapshot, const PoolEntry &pool, TimePoint now);
-    /// Whether \p account may have one more call in flight from this daemon.
+    /// Returns whether \p account may have one more call in flight from this daemon.
     [[nodiscard]] bool mayDispatch(const Snapshot &snapshot, const std::string &account) const;
 
-    /// The slots of endpoints that are neither leaving, ejected nor on probation, as
-    /// last seen.
+    /// Returns the slots of usable endpoints that are not on probation, as of the last
+    /// recomputation.
     [[nodiscard]] int usableSlots() const { return m_usableSlots; }
 
 private:
     std::string m_pool;
     TimePoint m_updatedAt = TimePoint::min();
-    double m_level = 0; ///< Slots for a unit of weight.
+    double m_level = 0; ///< Slots per unit of weight.
     int m_usableSlots = 0;
-    bool m_limits = false; ///< The demand is above the slots.
+    bool m_isLimiting = false; ///< Whether demand exceeds the slots.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/snapshot.h
+++ b/include/harelink/Kernel/snapshot.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/snapshot.h - Configuration in force ------*- C++ -*-===//
+//===- harelink/Kernel/snapshot.h - Active configuration --------*- C++ -*-===//
 ///
 /// \file
 /// The immutable view of the declared resources that workers read under RCU.
-/// Load counters live on from one snapshot to the next.
+/// Load counters are shared by consecutive snapshots.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,36 +23,37 @@
 
 namespace harelink {
 
-/// An endpoint and its counters.
+/// An endpoint and its load counters.
 struct EndpointEntry
 {
     EndpointSpec spec;
-    /// Shared with the snapshots before and after this one.
+    /// Shared with the previous and the next snapshot.
     std::shared_ptr<EndpointLoad> load;
-    bool isDrained = false; ///< Its data centre gets nothing new.
-    std::string region;     ///< Empty where it is not known.
+    bool isDrained = false; ///< Its data centre gets no new work.
+    std::string region;     ///< Empty if unknown.
 };
 
 /// The regions in which a request may be served.
 struct RegionLimit
 {
-    /// Those that its route and its account name; empty for all.
+    /// Allowed by its route and by its account; empty for all.
     const std::vector<std::string> &routeRegions;
     const std::vector<std::string> &accountRegions;
 
-    /// Whether \p region is among them. One that is not known is only where none is named.
+    /// Returns whether \p region is allowed. An unknown region is allowed only if no list names
+    /// any region.
     [[nodiscard]] bool allows(const std::string &region) const;
 };
 
-/// Whether \p entry may get new work under \p limit as far as operators and endpoints say, now
-/// or later.
+/// Returns whether \p entry may get new work under \p limit, now or later: it is neither leaving
+/// nor in a drained data centre.
 [[nodiscard]] bool mayServe(const EndpointEntry &entry, const RegionLimit &limit);
 
-/// A client account and its counters.
+/// A client account and its load counters.
 struct AccountEntry
 {
     ClientAccountSpec spec;
-    /// By pool, as far as this daemon and its peers have told.
+    /// By pool; the load of this daemon and the load reported by its peers.
     absl::flat_hash_map<std::string, std::shared_ptr<AccountLoad>> loads;
 };
 
@@ -61,74 +62,76 @@
 {
     PoolSpec spec;
     std::vector<EndpointEntry> endpoints;
-    std::size_t localCount = 0; ///< How many at the front are of the own data centre.
-    int totalSlots = 0;         ///< Of those whose data centre is not drained.
-    /// Shared with the snapshots before and after this one; null where the pool does not
-    /// work in pieces.
+    std::size_t localCount = 0; ///< Leading endpoints that are in the own data centre.
+    int totalSlots = 0;         ///< Of endpoints whose data centre is not drained.
+    /// Shared with the previous and the next snapshot; null if the pool does not work in
+    /// pieces.
     std::shared_ptr<PieceLoad> pieceLoad;
-    /// Of a large pool that works in pieces: the names of its parts, one for each data
-    /// centre, each with a batcher and a load of its own. Empty where it is not divided.
+    /// Names of the partitions of a large pool that works in pieces: one per data centre, each
+    /// with its own batcher and load. Empty if the pool is not partitioned.
     std::vector<std::string> partitions;
-    std::string dataCentre; ///< Of such a part, where all its endpoints stand; else empty.
-    /// Points on a ring, each an endpoint's index; empty where prompts are not kept. Prompts
-    /// of endpoints in a drained data centre have other homes, all at once.
+    std::string dataCentre; ///< Of a partition: that of all its endpoints; else empty.
+    /// Consistent hash ring: points with the index of their endpoint; empty if the pool does
+    /// not cache prompts. Endpoints in a drained data centre have no points, so that all their
+    /// prompts move to other endpoints at once.
     std::vector<std::pair<std::uint64_t, std::size_t>> promptRing;
 
-    /// The endpoint where prompts that begin with what \p prefix is the hash of are
-    /// kept: the same at every daemon, and for most prefixes still the same when
-    /// an endpoint is added. Null where prompts are not kept.
+    /// Returns the endpoint that caches prompts whose prefix has the hash \p prefix, or null if
+    /// the pool does not cache prompts. All daemons select the same one, and adding an endpoint
+    /// moves few prefixes.
     [[nodiscard]] const EndpointEntry *preferredEndpoint(std::uint64_t prefix) const;
-    /// The endpoint called \p name, or null.
+    /// Returns the endpoint named \p name, or null.
     [[nodiscard]] const EndpointEntry *find(const std::string &name) const;
-    /// Whether any endpoint that \p limit allows may get new work as far as operators and endpoints
-    /// say: what waits for a pool where none may, waits in vain.
+    /// Returns whether any endpoint may get new work under \p limit; see mayServe(). If not,
+    /// requests that wait for the pool can never be sent.
     [[nodiscard]] bool hasServingEndpoint(const RegionLimit &limit) const;
 };
 
-/// The configuration in force.
+/// The active configuration.
 struct Snapshot
 {
-    bool ready = false; ///< False until a configuration has been seen.
-    /// Shared with the snapshots before and after this one.
+    bool ready = false; ///< False until a configuration was received.
+    /// Shared with the previous and the next snapshot.
     std::shared_ptr<DaemonLoad> daemon = std::make_shared<DaemonLoad>();
-    std::uint64_t revision = 0; ///< Highest version of any object in it.
+    std::uint64_t revision = 0; ///< Highest version of any object in the snapshot.
     absl::flat_hash_map<std::string, PipelineSpec> pipelines;
     absl::flat_hash_map<std::string, AccountEntry> accounts;
     absl::flat_hash_map<std::string, PoolEntry> pools;
     absl::flat_hash_map<std::string, PoolEntry> poolPartitions; ///< See PoolEntry::partitions.
     std::string dataCentre;                                     ///< Of this daemon.
-    /// Whose endpoints get nothing new; sorted.
+    /// Data centres whose endpoints get no new work.
     std::set<std::string> drainedDataCentres;
     std::vector<ModelVersionSpec> modelVersions;
-    /// By host, the path prefixes with their pipelines, longest first.
+    /// By host: path prefixes and the names of their pipelines, longest prefix first.
     absl::flat_hash_map<std::string, std::vector<std::pair<std::string, std::string>>> routes;
     absl::flat_hash_map<std::string, std::string> accountsByKey; ///< By API key.
     absl::flat_hash_map<std::string, std::string> poolsByEndpoint;
-    /// By digest, until when such requests are not run.
+    /// By request digest: end of the quarantine.
     absl::flat_hash_map<Hash128, WallTime> quarantinedUntil;
 
-    /// The pipeline of the longest path prefix of \p host that begins \p path, or null.
+    /// Returns the pipeline of the longest prefix of \p path that is declared for \p host, or
+    /// null.
     [[nodiscard]] const PipelineSpec *route(const std::string &host, const std::string &path) const;
-    /// The pool of the endpoint called \p name, or null.
+    /// Returns the pool of the endpoint named \p name, or null.
     [[nodiscard]] const PoolEntry *poolOfEndpoint(const std::string &name) const;
-    /// The endpoint called \p name of any pool, or null.
+    /// Returns the endpoint named \p name of any pool, or null.
     [[nodiscard]] const EndpointEntry *endpoint(const std::string &name) const;
     [[nodiscard]] const PipelineSpec *pipeline(const std::string &name) const;
-    /// How long from \p now on requests with \p digest are not run; zero where they are.
+    /// Returns the time left of the quarantine of requests with \p digest; zero if there is none.
     [[nodiscard]] std::chrono::milliseconds quarantineLeft(const Hash128 &digest,
                                                            WallTime now) const;
     [[nodiscard]] const AccountEntry *account(const std::string &name) const;
     [[nodiscard]] const PoolEntry *pool(const std::string &name) const;
-    /// The pool or the part of a pool called \p name, or null.
+    /// Returns the pool or pool partition named \p name, or null.
     [[nodiscard]] const PoolEntry *poolOrPartition(const std::string &name) const;
 };
 
-/// Marks the endpoint called \p name as leaving, where it is declared.
+/// Marks the endpoint named \p name as leaving; does nothing if it is not declared.
 void markLeaving(const Snapshot &snapshot, const std::string &name);
 
 /// Builds the snapshot of \p resources for a daemon in \p dataCentre.
 ///
-/// \param previous whose counters are carried over; may be null.
+/// \param previous Source of the load counters to share; may be null.
 [[nodiscard]] std::unique_ptr<const Snapshot> buildSnapshot(const std::vector<Resource> &resources,
                                                             std::uint64_t revision,
                                                             const std::string &dataCentre,
--- a/lib/Kernel/slotshares.cpp
+++ b/lib/Kernel/slotshares.cpp
@@ -69,7 +69,7 @@
     }
     m_updatedAt = now;
     m_pool = pool.spec.name;
-    m_limits = false;
+    m_isLimiting = false;
     std::vector<Demand> demands = demandsOf(snapshot, m_pool);
     std::sort(demands.begin(), demands.end(), [](const Demand &a, const Demand &b) {
         return std::pair(a.perWeight(), a.weight) < std::pair(b.perWeight(), b.weight);
@@ -84,7 +84,7 @@
     for (const Demand &demand : demands) {
         m_level = slotsLeft / weightsLeft;
         if (demand.perWeight() > m_level) {
-            m_limits = true;
+            m_isLimiting = true;
             return;
         }
         slotsLeft -= demand.calls;
@@ -94,7 +94,7 @@
 
 bool SlotShares::mayDispatch(const Snapshot &snapshot, const std::string &account) const
 {
-    const AccountEntry *entry = m_limits ? snapshot.account(account) : nullptr;
+    const AccountEntry *entry = m_isLimiting ? snapshot.account(account) : nullptr;
     const AccountLoad *load = entry == nullptr ? nullptr : loadOf(*entry, m_pool);
     if (load == nullptr) {
         return true;
