--- a/unittests/Kernel/configgossiptest.cpp
+++ b/unittests/Kernel/configgossiptest.cpp
@@ -1,4 +1,4 @@
-//===- configgossiptest.cpp - Tests of the spread of configuration --------===//
+//===- configgossiptest.cpp - Tests of the configuration gossip -----------===//
 
 #include "harelink/Kernel/configgossipimpl.h"
 #include "harelink/Kernel/configmachineimpl.h"
@@ -18,11 +18,11 @@
 
 constexpr std::size_t watcherCount = 6;
 
-/// The gossip of ten daemons of one data centre, which all hear each other.
-class Spread
+/// The gossip of ten daemons of one data centre, which all receive each other's heartbeats.
+class GossipFixture
 {
 public:
-    Spread()
+    GossipFixture()
     {
         for (int i = 0; i < 10; ++i) {
             m_names.push_back(fmt::format("h{}", i));
@@ -31,7 +31,7 @@
             m_hosts.push_back(std::make_unique<Host>(m_clock, name));
         }
         for (const auto &host : m_hosts) {
-            // As long before as the first object of all.
+            // All daemons have the same first object.
             (void)host->table.apply({"Pool", "first", 1, false, "{}"});
             (void)host->table.drainUpdates();
             host->gossip.setConnected(true);
@@ -39,8 +39,8 @@
         run(milliseconds(1500));
     }
 
-    /// What those who watch hear of the platform, but for those that are \p cut.
-    void news(Version version, const std::set<std::string> &cut)
+    /// Applies an update from the platform at all watchers except those in \p cut.
+    void applyUpdate(Version version, const std::set<std::string> &cut)
     {
         for (const auto &host : m_hosts) {
             if (host->gossip.shouldWatch() && !cut.contains(host->name)) {
@@ -53,14 +53,14 @@
     {
         for (const TimePoint end = m_clock.now() + time; m_clock.now() < end;) {
             m_clock.advance(milliseconds(10));
-            hearEachOther();
+            exchangeHeartbeats();
             for (const auto &host : m_hosts) {
                 host->gossip.tick();
             }
             deliver();
         }
     }
-    /// The daemons that watch, those that push first.
+    /// Returns the daemons that watch; those that push come first.
     [[nodiscard]] std::vector<std::string> watchers() const
     {
         std::vector<std::string> names;
@@ -74,7 +74,7 @@
         });
         return names;
     }
-    [[nodiscard]] int having(Version version) const
+    [[nodiscard]] int hostsWithVersion(Version version) const
     {
         int count = 0;
         for (const auto &host : m_hosts) {
@@ -99,7 +99,7 @@
         BasicConfigGossip<AllGuards> gossip;
     };
 
-    void hearEachOther()
+    void exchangeHeartbeats()
     {
         for (const auto &from : m_hosts) {
             Heartbeat heartbeat;
@@ -117,12 +117,12 @@
             for (const auto &from : m_hosts) {
                 for (const PeerSend &send : from->gossip.drainSends()) {
                     more = true;
-                    take(from->name, send);
+                    handle(from->name, send);
                 }
             }
         }
     }
-    void take(const std::string &from, const PeerSend &send)
+    void handle(const std::string &from, const PeerSend &send)
     {
         for (const auto &to : m_hosts) {
             if (to->name != send.host) {
@@ -147,33 +147,33 @@
 
 TEST_GROUP(ConfigGossip){};
 
-TEST(ConfigGossip, AFewWatchAndTwoPush)
+TEST(ConfigGossip, FewDaemonsWatchAndTwoPush)
 {
-    Spread spread;
-    LONGS_EQUAL(watcherCount, spread.watchers().size());
-    const int before = spread.pushes();
-    spread.news(7, {});
-    spread.run(milliseconds(20));
-    LONGS_EQUAL(10, spread.having(7));
-    spread.run(milliseconds(2000));
-    LONGS_EQUAL(2 * 9, spread.pushes() - before);
+    GossipFixture fixture;
+    LONGS_EQUAL(watcherCount, fixture.watchers().size());
+    const int before = fixture.pushes();
+    fixture.applyUpdate(7, {});
+    fixture.run(milliseconds(20));
+    LONGS_EQUAL(10, fixture.hostsWithVersion(7));
+    fixture.run(milliseconds(2000));
+    LONGS_EQUAL(2 * 9, fixture.pushes() - before);
 }
 
-TEST(ConfigGossip, WherePushersHearNothingTheOtherWatchersMakeUpForIt)
+TEST(ConfigGossip, OtherWatchersCompensateForPushersThatMissAnUpdate)
 {
-    Spread spread;
-    const std::vector<std::string> watchers = spread.watchers();
-    // They still take themselves for connected, and agree with all that hear of nothing.
-    spread.news(7, {watchers[0], watchers[1]});
-    spread.run(milliseconds(700));
-    LONGS_EQUAL(10, spread.having(7));
+    GossipFixture fixture;
+    const std::vector<std::string> watchers = fixture.watchers();
+    // The pushers still consider themselves connected, and agree with all daemons that miss it.
+    fixture.applyUpdate(7, {watchers[0], watchers[1]});
+    fixture.run(milliseconds(700));
+    LONGS_EQUAL(10, fixture.hostsWithVersion(7));
 }
 
-TEST(ConfigGossip, OneWatcherThatHearsIsEnough)
+TEST(ConfigGossip, OneWatcherThatReceivesAnUpdateIsEnough)
 {
-    Spread spread;
-    const std::vector<std::string> watchers = spread.watchers();
-    spread.news(7, {watchers.begin(), watchers.end() - 1});
-    spread.run(milliseconds(700));
-    LONGS_EQUAL(10, spread.having(7));
+    GossipFixture fixture;
+    const std::vector<std::string> watchers = fixture.watchers();
+    fixture.applyUpdate(7, {watchers.begin(), watchers.end() - 1});
+    fixture.run(milliseconds(700));
+    LONGS_EQUAL(10, fixture.hostsWithVersion(7));
 }
--- a/unittests/Kernel/configtabletest.cpp
+++ b/unittests/Kernel/configtabletest.cpp
@@ -1,4 +1,4 @@
-//===- configtabletest.cpp - Tests of the configuration in force ----------===//
+//===- configtabletest.cpp - Tests of the configuration table -------------===//
 
 #include "harelink/Kernel/configmachine.h"
 #include "harelink/Kernel/configmachineimpl.h"
@@ -27,7 +27,7 @@
     return resources.empty() ? 0 : std::get<ClientAccountSpec>(resources[0].spec).weight;
 }
 
-/// Takes older news as well; what the product must not do.
+/// Also applies stale updates, which the product must not do.
 struct NoHighWater : AllGuards
 {
     static constexpr bool dropsStaleUpdates = false;
@@ -37,7 +37,7 @@
 
 TEST_GROUP(ConfigTable){};
 
-TEST(ConfigTable, OlderNewsChangesNothing)
+TEST(ConfigTable, StaleUpdateChangesNothing)
 {
     ConfigTable table;
     CHECK(table.apply(account(5, 2)));
@@ -46,7 +46,7 @@
     CHECK_EQUAL(1u, table.droppedUpdates());
 }
 
-TEST(ConfigTable, ControlWithoutHighWaterRevertsToOlderNews)
+TEST(ConfigTable, ControlWithoutHighWaterRevertsToStaleUpdate)
 {
     BasicConfigTable<NoHighWater> table;
     table.apply(account(5, 2));
@@ -54,7 +54,7 @@
     DOUBLES_EQUAL(9, weightIn(table), 0);
 }
 
-TEST(ConfigTable, ADeletedObjectDoesNotComeBackByOldNews)
+TEST(ConfigTable, StaleUpdateDoesNotRestoreADeletedObject)
 {
     ConfigTable table;
     table.apply(account(5, 2));
@@ -65,19 +65,19 @@
     CHECK(table.resources().empty());
 }
 
-TEST(ConfigTable, AListingDeletesWhatItLacks)
+TEST(ConfigTable, ListingDeletesMissingObjects)
 {
     ConfigTable table;
     table.apply(account(5, 2));
     CHECK(table.applyListing({}, 8));
     CHECK(table.resources().empty());
-    // A listing older than the object says nothing about it.
+    // A listing that is older than the object does not affect it.
     CHECK(table.apply(account(12, 3)));
     CHECK_FALSE(table.applyListing({}, 9));
     DOUBLES_EQUAL(3, weightIn(table), 0);
 }
 
-TEST(ConfigTable, TheLastGoodVersionStaysInForce)
+TEST(ConfigTable, LastValidVersionStaysInForce)
 {
     ConfigTable table;
     table.apply(account(5, 2));
@@ -91,8 +91,9 @@
     CHECK(table.entries().begin()->second.fault.empty());
 }
 
-/// The hash is kept as news come in: the way there and older news leave no trace in it.
-TEST(ConfigTable, TheSameVersionsHaveTheSameHashWhateverCameBefore)
+/// The hash is maintained with each update; it must depend neither on earlier versions nor on
+/// stale updates.
+TEST(ConfigTable, EqualVersionsHaveEqualHashesRegardlessOfHistory)
 {
     PlatformObject other = account(6, 1);
     other.name = "clerks";
--- a/unittests/Kernel/configwatchertest.cpp
+++ b/unittests/Kernel/configwatchertest.cpp
@@ -1,4 +1,4 @@
-//===- configwatchertest.cpp - Tests of following the platform ------------===//
+//===- configwatchertest.cpp - Tests of the configuration watcher ---------===//
 
 #include "harelink/Kernel/configmachineimpl.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Each object is one endpoint, which may lapse while the platform is away.
+/// A reader for which each object is an endpoint that may lapse while the platform is unavailable.
 class LapsingReader final : public ObjectReader
 {
 public:
@@ -39,9 +39,9 @@
     }
 };
 
-struct Bench
+struct Fixture
 {
-    /// Answers the call that is due.
+    /// Answers the call that is due. Returns whether the configuration in force changed.
     bool answer(PlatformOutcome outcome, std::vector<PlatformObject> objects = {},
                 Version version = 0, bool more = false)
     {
@@ -77,72 +77,72 @@
 
 TEST_GROUP(ConfigWatcher){};
 
-TEST(ConfigWatcher, ARemovalIsInForceAtOnceWhileThePlatformIsWell)
+TEST(ConfigWatcher, AppliesADeletionAtOnceWhileThePlatformIsAvailable)
 {
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5), Bench::object("i-2", 6)}, 7);
-    LONGS_EQUAL(2, bench.endpoints());
-    CHECK(bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 8, true)}, 8));
-    LONGS_EQUAL(1, bench.endpoints());
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5), Fixture::object("i-2", 6)}, 7);
+    LONGS_EQUAL(2, fixture.endpoints());
+    CHECK(fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 8, true)}, 8));
+    LONGS_EQUAL(1, fixture.endpoints());
 }
 
-TEST(ConfigWatcher, AnEndpointThatLapsedInAnOutageIsWaitedFor)
+TEST(ConfigWatcher, DelaysDeletionOfAnEndpointThatLapsedInAnOutage)
 {
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5), Bench::object("i-2", 6)}, 7);
-    bench.answer(PlatformOutcome::Unanswered);
-    bench.answer(PlatformOutcome::Ok,
-                 {Bench::object("i-1", 9, true), Bench::object("i-2", 10, true)}, 10);
-    LONGS_EQUAL(2, bench.endpoints());
-    // One declares itself anew; the other is taken to be gone.
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-2", 11)}, 11);
-    bench.clock.advance(milliseconds(300));
-    CHECK(bench.watcher.applyDelayedDeletions());
-    LONGS_EQUAL(1, bench.endpoints());
-    CHECK(bench.table.endpoint("i-2")->resources.size() == 1);
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5), Fixture::object("i-2", 6)}, 7);
+    fixture.answer(PlatformOutcome::Unanswered);
+    fixture.answer(PlatformOutcome::Ok,
+                   {Fixture::object("i-1", 9, true), Fixture::object("i-2", 10, true)}, 10);
+    LONGS_EQUAL(2, fixture.endpoints());
+    // One endpoint declares itself again; the other one is deleted.
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-2", 11)}, 11);
+    fixture.clock.advance(milliseconds(300));
+    CHECK(fixture.watcher.applyDelayedDeletions());
+    LONGS_EQUAL(1, fixture.endpoints());
+    CHECK(fixture.table.endpoint("i-2")->resources.size() == 1);
 }
 
-TEST(ConfigWatcher, ACallThatHungThroughTheOutageRemovesNobodyAtOnce)
+TEST(ConfigWatcher, DelaysDeletionByACallThatHungDuringTheOutage)
 {
-    // The call after the failure is only answered long after, when the platform is back.
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5)}, 7);
-    bench.answer(PlatformOutcome::Refused);
-    bench.clock.advance(milliseconds(4000));
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 9, true)}, 9);
-    LONGS_EQUAL(1, bench.endpoints());
-    bench.clock.advance(milliseconds(2200));
-    CHECK_FALSE(bench.watcher.applyDelayedDeletions());
-    bench.clock.advance(milliseconds(200));
-    CHECK(bench.watcher.applyDelayedDeletions());
-    LONGS_EQUAL(0, bench.endpoints());
+    // The call after the failure is answered much later, when the platform is available again.
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5)}, 7);
+    fixture.answer(PlatformOutcome::Refused);
+    fixture.clock.advance(milliseconds(4000));
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 9, true)}, 9);
+    LONGS_EQUAL(1, fixture.endpoints());
+    fixture.clock.advance(milliseconds(2200));
+    CHECK_FALSE(fixture.watcher.applyDelayedDeletions());
+    fixture.clock.advance(milliseconds(200));
+    CHECK(fixture.watcher.applyDelayedDeletions());
+    LONGS_EQUAL(0, fixture.endpoints());
 }
 
-TEST(ConfigWatcher, AFailureOfAnotherCallCountsToo)
+TEST(ConfigWatcher, DelaysDeletionAfterAFailureOfAnotherCall)
 {
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5)}, 7);
-    bench.watcher.recordPlatformAnswer(false);
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 9, true)}, 9);
-    LONGS_EQUAL(1, bench.endpoints());
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5)}, 7);
+    fixture.watcher.recordPlatformAnswer(false);
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 9, true)}, 9);
+    LONGS_EQUAL(1, fixture.endpoints());
 }
 
-TEST(ConfigWatcher, AListingInPagesIsTakenWhole)
+TEST(ConfigWatcher, AppliesAListingInPagesAsAWhole)
 {
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5)}, 7, true);
-    LONGS_EQUAL(0, bench.endpoints());
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-2", 6)}, 7);
-    STRCMP_EQUAL("i-1", bench.last.name.c_str());
-    LONGS_EQUAL(2, bench.endpoints());
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5)}, 7, true);
+    LONGS_EQUAL(0, fixture.endpoints());
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-2", 6)}, 7);
+    STRCMP_EQUAL("i-1", fixture.last.name.c_str());
+    LONGS_EQUAL(2, fixture.endpoints());
 }
 
-TEST(ConfigWatcher, ForgottenHistoryIsListedAgain)
+TEST(ConfigWatcher, ListsAgainWhenThePlatformLosesItsHistory)
 {
-    Bench bench;
-    bench.answer(PlatformOutcome::Ok, {Bench::object("i-1", 5)}, 7);
-    bench.answer(PlatformOutcome::Gone);
-    bench.answer(PlatformOutcome::Ok, {}, 9);
-    CHECK(bench.last.operation == PlatformOperation::List);
-    LONGS_EQUAL(0, bench.endpoints());
+    Fixture fixture;
+    fixture.answer(PlatformOutcome::Ok, {Fixture::object("i-1", 5)}, 7);
+    fixture.answer(PlatformOutcome::Gone);
+    fixture.answer(PlatformOutcome::Ok, {}, 9);
+    CHECK(fixture.last.operation == PlatformOperation::List);
+    LONGS_EQUAL(0, fixture.endpoints());
 }
--- a/unittests/Kernel/controlfixture.h
+++ b/unittests/Kernel/controlfixture.h
@@ -1,4 +1,4 @@
-//===- controlfixture.h - A daemon's control for kernel tests ---*- C++ -*-===//
+//===- controlfixture.h - Control machine options for tests -----*- C++ -*-===//
 
 #ifndef HARELINK_UNITTESTS_KERNEL_CONTROLFIXTURE_H
 #define HARELINK_UNITTESTS_KERNEL_CONTROLFIXTURE_H
@@ -9,7 +9,7 @@
 
 namespace harelink::testing {
 
-/// Host "h1" of "dc1", which keeps no claims.
+/// Returns options for host "h1" in "dc1", which keeps no claims.
 inline ControlOptions controlOptions(const ObjectReader &objects = ownObjectReader())
 {
     ControlOptions options;
@@ -22,7 +22,8 @@
     return options;
 }
 
-/// The heartbeat of "h" and \p number in "dc1", which knows the endpoints that leave.
+/// Returns a heartbeat of the host "h" plus \p number in "dc1", which has a list of the endpoints
+/// that are leaving.
 inline PeerMessage heartbeatOf(Incarnation number)
 {
     const std::string host = "h" + std::to_string(number);
--- a/unittests/Kernel/controlmachinetest.cpp
+++ b/unittests/Kernel/controlmachinetest.cpp
@@ -1,4 +1,4 @@
-//===- controlmachinetest.cpp - Tests of a daemon's control ---------------===//
+//===- controlmachinetest.cpp - Tests of the control machine --------------===//
 
 #include "controlfixture.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Routes and endpoints are followed apart.
+/// A reader whose routes and endpoints are followed by separate watchers.
 class TwoGroupsReader final : public ObjectReader
 {
 public:
@@ -35,14 +35,14 @@
     }
 };
 
-struct Bench
+struct Fixture
 {
-    Bench()
+    Fixture()
         : machine(clock, controlOptions(reader))
     {
         machine.handle(heartbeatOf(2));
     }
-    /// Whether a peer's news puts a configuration in force.
+    /// Handles an update from a peer. Returns whether it puts a configuration in force.
     bool push(const std::string &kind, const std::string &name)
     {
         ConfigPush push;
@@ -61,37 +61,37 @@
 
 TEST_GROUP(ControlMachine){};
 
-TEST(ControlMachine, EndpointsAloneAreNoConfiguration)
+TEST(ControlMachine, PublishesNoConfigurationWithEndpointsOnly)
 {
-    Bench bench;
-    CHECK(!bench.push("endpoints", "e1"));
-    CHECK(!bench.push("endpoints", "e2"));
-    CHECK(bench.push("routes", "main"));
-    CHECK(bench.push("endpoints", "e3"));
+    Fixture fixture;
+    CHECK(!fixture.push("endpoints", "e1"));
+    CHECK(!fixture.push("endpoints", "e2"));
+    CHECK(fixture.push("routes", "main"));
+    CHECK(fixture.push("endpoints", "e3"));
 }
 
-/// Two of a data centre's hosts push what they hear of to all others of it. A listing at their
-/// start is no news: of a fleet that starts each host has read it for itself.
-TEST(ControlMachine, WhatAStartReadsIsNotPushed)
+/// Two hosts of a data centre push updates to all others. They must not push the first listing,
+/// since each host of a fleet that starts has read it itself.
+TEST(ControlMachine, DoesNotPushTheFirstListing)
 {
-    Bench bench;
-    bench.machine.tick();
+    Fixture fixture;
+    fixture.machine.tick();
     std::vector<PlatformCall> listings;
-    for (const PlatformCall &call : bench.machine.drainOutput().calls) {
+    for (const PlatformCall &call : fixture.machine.drainOutput().calls) {
         if (call.operation == PlatformOperation::List) {
             listings.push_back(call);
         }
     }
     LONGS_EQUAL(2, listings.size());
-    const auto answer = [&bench](const PlatformCall &call, const std::string &name) {
+    const auto answer = [&fixture](const PlatformCall &call, const std::string &name) {
         PlatformResult result;
         result.id = call.id;
         result.outcome = PlatformOutcome::Ok;
-        result.version = ++bench.version;
-        result.objects.push_back({call.kind, name, bench.version, false, "{}"});
-        bench.machine.handle(result);
+        result.version = ++fixture.version;
+        result.objects.push_back({call.kind, name, fixture.version, false, "{}"});
+        fixture.machine.handle(result);
         std::size_t pushes = 0;
-        for (const PeerSend &send : bench.machine.drainOutput().sends) {
+        for (const PeerSend &send : fixture.machine.drainOutput().sends) {
             pushes += std::holds_alternative<ConfigPush>(send.message.content) ? 1 : 0;
         }
         return pushes;
@@ -99,10 +99,10 @@
     for (const PlatformCall &call : listings) {
         LONGS_EQUAL(0, answer(call, "first"));
     }
-    // What its watches bring is.
-    bench.clock.advance(std::chrono::seconds(1));
-    bench.machine.tick();
-    for (const PlatformCall &call : bench.machine.drainOutput().calls) {
+    // Updates from watches are pushed.
+    fixture.clock.advance(std::chrono::seconds(1));
+    fixture.machine.tick();
+    for (const PlatformCall &call : fixture.machine.drainOutput().calls) {
         if (call.operation == PlatformOperation::Watch) {
             LONGS_EQUAL(1, answer(call, "second"));
         }
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -47,14 +47,14 @@
 }
 
 /// Drains as the product's own objects, told by a peer.
-struct ControlBench
+struct ControlFixture
 {
-    ControlBench()
+    ControlFixture()
         : machine(clock, controlOptions())
     {
         machine.handle(heartbeatOf(2));
     }
-    void tell(Version version, bool deleted)
+    void push(Version version, bool deleted)
     {
         ConfigPush push;
         push.objects.push_back(
@@ -153,43 +153,43 @@
 
 TEST(DataCentreDrain, WhereAllAreDrainedARequestIsRefusedAtOnce)
 {
-    ProxiedFixture bench;
-    bench.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    LONGS_EQUAL(1, bench.answers.size());
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
+    ProxiedFixture fixture;
+    fixture.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, fixture.snapshot.get());
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    LONGS_EQUAL(1, fixture.answers.size());
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
 }
 
 /// What waited for an endpoint when all were drained waits in vain.
 TEST(DataCentreDrain, AWaitingRequestIsRefusedAtOnceToo)
 {
-    ProxiedFixture bench;
+    ProxiedFixture fixture;
     for (int i = 0; i < 3; ++i) {
-        const EndpointEntry &engine = *bench.snapshot->endpoint(fmt::format("engine-{}", i));
+        const EndpointEntry &engine = *fixture.snapshot->endpoint(fmt::format("engine-{}", i));
         engine.load->limit = 0; // All are full.
     }
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.answers.size());
-    bench.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, bench.snapshot.get());
-    bench.advance(milliseconds(10));
-    LONGS_EQUAL(1, bench.answers.size());
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
-    CHECK(bench.answers.at(0).reason == Reason::NoEndpoint);
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.answers.size());
+    fixture.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, fixture.snapshot.get());
+    fixture.advance(milliseconds(10));
+    LONGS_EQUAL(1, fixture.answers.size());
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
+    CHECK(fixture.answers.at(0).reason == Reason::NoEndpoint);
 }
 
 /// Planned work cuts nothing off.
 TEST(DataCentreDrain, WhatIsUnderWayEndsThere)
 {
-    ProxiedFixture bench(1);
-    bench.arrive("/read/1");
-    LONGS_EQUAL(1, bench.sends.size());
-    bench.snapshot = snapshotOf(proxiedConfiguration(1), {"dc1"}, bench.snapshot.get());
-    bench.advance(milliseconds(100));
-    LONGS_EQUAL(0, bench.cancels.size());
-    bench.answer(bench.sends.at(0));
-    CHECK(bench.answers.at(0).outcome == Outcome::Completed);
-    LONGS_EQUAL(0, bench.snapshot->endpoint("engine-0")->load->inFlight);
+    ProxiedFixture fixture(1);
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(1, fixture.sends.size());
+    fixture.snapshot = snapshotOf(proxiedConfiguration(1), {"dc1"}, fixture.snapshot.get());
+    fixture.advance(milliseconds(100));
+    LONGS_EQUAL(0, fixture.cancels.size());
+    fixture.answer(fixture.sends.at(0));
+    CHECK(fixture.answers.at(0).outcome == Outcome::Completed);
+    LONGS_EQUAL(0, fixture.snapshot->endpoint("engine-0")->load->inFlight);
 }
 
 TEST(DataCentreDrain, PiecesAreMadeElsewhere)
@@ -214,25 +214,25 @@
 
 TEST(DataCentreDrain, OlderNewsNeitherDrainsNorTakesBack)
 {
-    ControlBench bench;
-    bench.tell(5, false);
-    CHECK(bench.isDrained());
-    bench.tell(4, true);
-    CHECK(bench.isDrained());
-    bench.tell(7, true);
-    CHECK(!bench.isDrained());
-    bench.tell(5, false);
-    CHECK(!bench.isDrained());
-    bench.tell(8, false);
-    CHECK(bench.isDrained());
+    ControlFixture fixture;
+    fixture.push(5, false);
+    CHECK(fixture.isDrained());
+    fixture.push(4, true);
+    CHECK(fixture.isDrained());
+    fixture.push(7, true);
+    CHECK(!fixture.isDrained());
+    fixture.push(5, false);
+    CHECK(!fixture.isDrained());
+    fixture.push(8, false);
+    CHECK(fixture.isDrained());
 }
 
 namespace {
 
 /// A host that has just started; a peer of its data centre lives.
-struct StartBench
+struct StartFixture
 {
-    StartBench()
+    StartFixture()
         : machine(clock, controlOptions(reader))
     {
         machine.handle(heartbeatOf(2));
@@ -273,10 +273,10 @@
 /// A host that has just started would else send to a data centre that has been drained for long.
 TEST(DataCentreDrain, AHostThatStartsReadsThemBeforeItSendsAnything)
 {
-    StartBench bench;
-    CHECK(!bench.answer("routes", PlatformOutcome::Ok));
-    CHECK(!bench.answer("endpoints", PlatformOutcome::Ok));
-    CHECK(bench.answer("drains", PlatformOutcome::Ok));
+    StartFixture fixture;
+    CHECK(!fixture.answer("routes", PlatformOutcome::Ok));
+    CHECK(!fixture.answer("endpoints", PlatformOutcome::Ok));
+    CHECK(fixture.answer("drains", PlatformOutcome::Ok));
 }
 
 /// Seen: a host that started while the platform refused it took its peers' configuration; when
@@ -284,13 +284,13 @@
 /// knew of a data centre's drain 12 s late.
 TEST(DataCentreDrain, AHostThatCouldNotReadThemGoesOnWithItsPeersNews)
 {
-    StartBench bench;
+    StartFixture fixture;
     for (const char *kind : {"routes", "endpoints", "drains"}) {
-        bench.answer(kind, PlatformOutcome::Refused);
+        fixture.answer(kind, PlatformOutcome::Refused);
     }
-    CHECK(!bench.push("endpoints", "e1"));
-    CHECK(bench.push("routes", "main"));
-    bench.answer("hosts", PlatformOutcome::Ok); // The platform is back.
-    CHECK(bench.push("drains", "dc2"));
-    CHECK(bench.push("endpoints", "e2"));
+    CHECK(!fixture.push("endpoints", "e1"));
+    CHECK(fixture.push("routes", "main"));
+    fixture.answer("hosts", PlatformOutcome::Ok); // The platform is back.
+    CHECK(fixture.push("drains", "dc2"));
+    CHECK(fixture.push("endpoints", "e2"));
 }
