--- a/unittests/Kernel/peerrelaytest.cpp
+++ b/unittests/Kernel/peerrelaytest.cpp
@@ -18,19 +18,20 @@
 
 namespace {
 
-constexpr Incarnation startDistance = 1000;
+constexpr Incarnation incarnationStep = 1000;
 constexpr int dataCentreCount = 3;
 constexpr milliseconds step{25};
-/// A heartbeat, a summary to the other data centres' relays, one to their daemons, and the
-/// next whole one.
-constexpr milliseconds spreadTime{2500};
+/// Covers a heartbeat, a summary to the relays of other data centres, one to their daemons, and
+/// the next summary with usage.
+constexpr milliseconds propagationTime{2500};
 
-/// Daemons' controls that hear each other after one step.
-class Fleet
+/// Control machines of several daemons. Messages arrive after one step of the clock.
+class RelayFixture
 {
 public:
-    /// \param able hosts of each data centre have four times the others' capacity.
-    Fleet(int hosts, std::size_t maxMeshPeers, int able = 2)
+    /// \param highCapacityHosts the number of hosts per data centre with four times the capacity
+    ///     of the others.
+    RelayFixture(int hosts, std::size_t maxMeshPeers, int highCapacityHosts = 2)
     {
         for (int i = 0; i < hosts; ++i) {
             ControlOptions options;
@@ -39,7 +40,7 @@
             options.dataCentre = fmt::format("dc{}", i % dataCentreCount);
             options.incarnation = 100 + static_cast<Incarnation>(i);
             options.keepsClaims = false;
-            options.capacity = i < able * dataCentreCount ? 0.5 : 0.12;
+            options.capacity = i < highCapacityHosts * dataCentreCount ? 0.5 : 0.12;
             options.maxMeshPeers = maxMeshPeers;
             m_options[options.host] = options;
             start(options.host);
@@ -48,33 +49,33 @@
 
     void start(const std::string &host)
     {
-        // Each start is another incarnation.
-        m_options.at(host).incarnation += startDistance;
+        // Each start creates another incarnation.
+        m_options.at(host).incarnation += incarnationStep;
         m_hosts[host] = std::make_unique<ControlMachine>(m_clock, m_options.at(host));
     }
     void kill(const std::string &host) { m_hosts.erase(host); }
-    /// Nothing passes between \p dataCentre and the others from now on.
+    /// Drops all messages between \p dataCentre and the others from now on.
     void cut(const std::string &dataCentre) { m_cut = dataCentre; }
-    /// The platform's list of hosts lacks \p hosts.
+    /// Omits \p hosts from the platform's host list.
     void unlist(std::set<std::string> hosts) { m_unlisted = std::move(hosts); }
-    void sendsTokens(const std::string &host, std::int64_t tokens) { m_tokens[host] = tokens; }
+    void setTokens(const std::string &host, std::int64_t tokens) { m_tokens[host] = tokens; }
 
     void run(Duration time)
     {
         for (const TimePoint end = m_clock.now() + time; m_clock.now() < end;) {
             m_clock.advance(step);
-            const std::vector<PeerSend> arrived = std::exchange(m_onTheWay, {});
-            for (const PeerSend &send : arrived) {
+            const std::vector<PeerSend> arriving = std::exchange(m_inTransit, {});
+            for (const PeerSend &send : arriving) {
                 deliver(send);
             }
             for (auto &[name, host] : m_hosts) {
-                turn(name, *host);
+                tick(name, *host);
             }
         }
     }
 
-    /// Messages that \p host sent, or all where it is empty, since the last call.
-    std::map<std::string, int> takeSent() { return std::exchange(m_sent, {}); }
+    /// Returns and clears the numbers of messages sent, by host.
+    std::map<std::string, int> drainSent() { return std::exchange(m_sent, {}); }
     [[nodiscard]] std::size_t livePeers(const std::string &host) const
     {
         return m_hosts.at(host)->membership().livePeers().size();
@@ -84,11 +85,11 @@
         const std::vector<std::string> live = m_hosts.at(host)->membership().livePeers();
         return std::find(live.begin(), live.end(), other) != live.end();
     }
-    /// The tokens that all others have sent to the engine, as \p host knows it.
-    [[nodiscard]] std::int64_t tokensOfPeers(const std::string &host) const
+    /// Returns the tokens that all other daemons have sent to the engine, as \p host knows it.
+    [[nodiscard]] std::int64_t peerTokens(const std::string &host) const
     {
-        const auto found = m_tokensOfPeers.find(host);
-        return found == m_tokensOfPeers.end() ? 0 : found->second;
+        const auto found = m_peerTokens.find(host);
+        return found == m_peerTokens.end() ? 0 : found->second;
     }
     [[nodiscard]] std::vector<std::string> hosts() const
     {
@@ -102,7 +103,7 @@
     {
         return m_options.at(host).dataCentre;
     }
-    [[nodiscard]] const std::set<std::string> &asked() const { return m_asked; }
+    [[nodiscard]] const std::set<std::string> &requestedRelays() const { return m_requestedRelays; }
 
 private:
     [[nodiscard]] bool passes(const std::string &from, const std::string &to) const
@@ -116,7 +117,7 @@
             to->second->handle(send.message);
         }
     }
-    void turn(const std::string &name, ControlMachine &host)
+    void tick(const std::string &name, ControlMachine &host)
     {
         if (host.heartbeatsDue()) {
             host.recordPrompts({{"engine", m_tokens[name]}});
@@ -130,12 +131,12 @@
             ++m_sent[name];
             const auto *heartbeat = std::get_if<Heartbeat>(&send.message.content);
             if (heartbeat != nullptr && heartbeat->wantsSummary) {
-                m_asked.insert(send.host);
+                m_requestedRelays.insert(send.host);
             }
-            m_onTheWay.push_back(std::move(send));
+            m_inTransit.push_back(std::move(send));
         }
         for (const PromptBacklog &prompt : output.prompts) {
-            m_tokensOfPeers[name] = prompt.tokens;
+            m_peerTokens[name] = prompt.tokens;
         }
     }
     void answer(const PlatformCall &call, ControlMachine &host)
@@ -161,11 +162,11 @@
     ManualClock m_clock;
     std::map<std::string, ControlOptions> m_options;
     std::map<std::string, std::unique_ptr<ControlMachine>> m_hosts;
-    std::vector<PeerSend> m_onTheWay;
+    std::vector<PeerSend> m_inTransit;
     std::map<std::string, int> m_sent;
     std::map<std::string, std::int64_t> m_tokens;
-    std::map<std::string, std::int64_t> m_tokensOfPeers;
-    std::set<std::string> m_asked;
+    std::map<std::string, std::int64_t> m_peerTokens;
+    std::set<std::string> m_requestedRelays;
     std::string m_cut;
     std::set<std::string> m_unlisted;
 };
@@ -179,154 +180,154 @@
     return sum;
 }
 
-/// Messages of all of \p hosts daemons in one settled second.
-int messagesASecond(int hosts, std::size_t maxMeshPeers)
+/// Returns the number of messages that \p hosts daemons send per second in steady state.
+int messagesPerSecond(int hosts, std::size_t maxMeshPeers)
 {
-    Fleet fleet(hosts, maxMeshPeers);
-    fleet.run(spreadTime);
-    (void)fleet.takeSent();
-    fleet.run(std::chrono::seconds(1));
-    return total(fleet.takeSent());
+    RelayFixture fixture(hosts, maxMeshPeers);
+    fixture.run(propagationTime);
+    (void)fixture.drainSent();
+    fixture.run(std::chrono::seconds(1));
+    return total(fixture.drainSent());
 }
 
 } // namespace
 
 TEST_GROUP(PeerRelay){};
 
-TEST(PeerRelay, MessagesGrowWithTheDaemonsAndNotWithTheirSquare)
+TEST(PeerRelay, MessagesGrowLinearlyWithTheNumberOfDaemons)
 {
-    const int thirty = messagesASecond(30, 16);
-    const int ninety = messagesASecond(90, 16);
+    const int thirty = messagesPerSecond(30, 16);
+    const int ninety = messagesPerSecond(90, 16);
     CHECK(ninety < thirty * 4);
     CHECK(ninety < 90 * 25);
-    // The control: all tell all, so twice the daemons send four times as much.
-    const int mesh = messagesASecond(30, 1000);
+    // As a control, a full mesh: twice the daemons send four times as many messages.
+    const int mesh = messagesPerSecond(30, 1000);
     CHECK(mesh >= 30 * 29 * 4);
-    CHECK(messagesASecond(60, 1000) > mesh * 7 / 2);
+    CHECK(messagesPerSecond(60, 1000) > mesh * 7 / 2);
 }
 
-TEST(PeerRelay, EveryDaemonKnowsAllThatLive)
+TEST(PeerRelay, EveryDaemonKnowsAllLiveHosts)
 {
-    Fleet fleet(60, 16);
-    fleet.run(spreadTime);
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(59, fleet.livePeers(host));
+    RelayFixture fixture(60, 16);
+    fixture.run(propagationTime);
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(59, fixture.livePeers(host));
     }
 }
 
-TEST(PeerRelay, FiguresAreSummedUpWithoutOnesOwn)
+TEST(PeerRelay, SummariesExcludeTheReceiversOwnLoad)
 {
-    Fleet fleet(60, 16);
+    RelayFixture fixture(60, 16);
     std::int64_t all = 0;
     std::int64_t tokens = 1;
-    for (const std::string &host : fleet.hosts()) {
-        fleet.sendsTokens(host, tokens);
+    for (const std::string &host : fixture.hosts()) {
+        fixture.setTokens(host, tokens);
         all += tokens++;
     }
-    fleet.run(spreadTime);
+    fixture.run(propagationTime);
     tokens = 1;
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(all - tokens++, fleet.tokensOfPeers(host));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(all - tokens++, fixture.peerTokens(host));
     }
 }
 
-TEST(PeerRelay, OnlyAbleHostsAreAsked)
+TEST(PeerRelay, OnlyHighCapacityHostsAreRelays)
 {
-    Fleet fleet(60, 16);
-    fleet.run(spreadTime);
-    for (const std::string &host : fleet.asked()) {
+    RelayFixture fixture(60, 16);
+    fixture.run(propagationTime);
+    for (const std::string &host : fixture.requestedRelays()) {
         CHECK(host < "h06");
     }
 }
 
-TEST(PeerRelay, ADeadRelayIsReplacedAndADeadHostForgotten)
+TEST(PeerRelay, DeadRelayIsReplacedAndDeadHostRemoved)
 {
-    Fleet fleet(60, 16);
-    fleet.run(spreadTime);
-    // All able ones but two: one data centre is left without any.
+    RelayFixture fixture(60, 16);
+    fixture.run(propagationTime);
+    // Kills all high-capacity hosts but two: one data centre has none left.
     for (const char *relay : {"h00", "h01", "h03", "h04"}) {
-        fleet.kill(relay);
+        fixture.kill(relay);
     }
-    fleet.run(spreadTime + milliseconds(1500));
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(55, fleet.livePeers(host));
-        CHECK(!fleet.knows(host, "h00"));
+    fixture.run(propagationTime + milliseconds(1500));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(55, fixture.livePeers(host));
+        CHECK(!fixture.knows(host, "h00"));
     }
 }
 
-TEST(PeerRelay, ADataCentreThatIsCutOffGoesOnForItself)
+TEST(PeerRelay, PartitionedDataCentreContinuesOnItsOwn)
 {
-    Fleet fleet(60, 16);
-    for (const std::string &host : fleet.hosts()) {
-        fleet.sendsTokens(host, 1);
+    RelayFixture fixture(60, 16);
+    for (const std::string &host : fixture.hosts()) {
+        fixture.setTokens(host, 1);
     }
-    fleet.run(spreadTime);
-    fleet.cut("dc1");
-    fleet.run(spreadTime + milliseconds(1500));
-    for (const std::string &host : fleet.hosts()) {
-        const bool isCut = fleet.dataCentreOf(host) == "dc1";
-        LONGS_EQUAL(isCut ? 19 : 39, fleet.livePeers(host));
-        LONGS_EQUAL(isCut ? 19 : 39, fleet.tokensOfPeers(host));
+    fixture.run(propagationTime);
+    fixture.cut("dc1");
+    fixture.run(propagationTime + milliseconds(1500));
+    for (const std::string &host : fixture.hosts()) {
+        const bool isCut = fixture.dataCentreOf(host) == "dc1";
+        LONGS_EQUAL(isCut ? 19 : 39, fixture.livePeers(host));
+        LONGS_EQUAL(isCut ? 19 : 39, fixture.peerTokens(host));
     }
-    fleet.cut("");
-    fleet.run(spreadTime + milliseconds(3500));
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(59, fleet.livePeers(host));
+    fixture.cut("");
+    fixture.run(propagationTime + milliseconds(3500));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(59, fixture.livePeers(host));
     }
 }
 
-TEST(PeerRelay, AHostThatStartsAnewIsKnownAgain)
+TEST(PeerRelay, RestartedHostIsKnownAgain)
 {
-    Fleet fleet(60, 16);
-    fleet.run(spreadTime);
-    fleet.kill("h01");
-    fleet.run(spreadTime);
-    CHECK(!fleet.knows("h59", "h01"));
-    fleet.start("h01");
-    fleet.run(spreadTime);
-    CHECK(fleet.knows("h59", "h01"));
-    for (const std::string &host : fleet.hosts()) {
-        CHECK_TEXT(host == "h01" || fleet.knows("h01", host), host.c_str());
+    RelayFixture fixture(60, 16);
+    fixture.run(propagationTime);
+    fixture.kill("h01");
+    fixture.run(propagationTime);
+    CHECK(!fixture.knows("h59", "h01"));
+    fixture.start("h01");
+    fixture.run(propagationTime);
+    CHECK(fixture.knows("h59", "h01"));
+    for (const std::string &host : fixture.hosts()) {
+        CHECK_TEXT(host == "h01" || fixture.knows("h01", host), host.c_str());
     }
 }
 
-TEST(PeerRelay, RelaysThatStartedWithoutKnowingEachOtherMeet)
+TEST(PeerRelay, RelaysThatStartWithoutKnowingEachOtherDiscoverEachOther)
 {
-    Fleet fleet(60, 16);
-    // Both able hosts of dc0 are relays to those that they know before they are listed.
-    fleet.unlist({"h00", "h03"});
-    fleet.run(milliseconds(200));
-    CHECK(!fleet.knows("h00", "h03"));
-    fleet.unlist({});
-    fleet.run(spreadTime + milliseconds(2000));
-    CHECK(fleet.knows("h00", "h03"));
-    CHECK(fleet.knows("h03", "h00"));
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(59, fleet.livePeers(host));
+    RelayFixture fixture(60, 16);
+    // Both high-capacity hosts of dc0 become relays before they are listed.
+    fixture.unlist({"h00", "h03"});
+    fixture.run(milliseconds(200));
+    CHECK(!fixture.knows("h00", "h03"));
+    fixture.unlist({});
+    fixture.run(propagationTime + milliseconds(2000));
+    CHECK(fixture.knows("h00", "h03"));
+    CHECK(fixture.knows("h03", "h00"));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(59, fixture.livePeers(host));
     }
 }
 
-TEST(PeerRelay, FewDaemonsTellEachOtherDirectly)
+TEST(PeerRelay, FewDaemonsFormAFullMesh)
 {
-    Fleet fleet(9, 16);
-    fleet.run(milliseconds(600));
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(8, fleet.livePeers(host));
+    RelayFixture fixture(9, 16);
+    fixture.run(milliseconds(600));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(8, fixture.livePeers(host));
     }
-    CHECK(fleet.asked().empty());
+    CHECK(fixture.requestedRelays().empty());
 }
 
-TEST(PeerRelay, DaemonsThatStartAtOnceKnowEachOtherBeforeTheirNextHeartbeat)
+TEST(PeerRelay, DaemonsThatStartTogetherKnowEachOtherBeforeTheNextHeartbeat)
 {
-    Fleet fleet(6, 16);
-    fleet.run(milliseconds(100));
-    for (const std::string &host : fleet.hosts()) {
-        LONGS_EQUAL(5, fleet.livePeers(host));
+    RelayFixture fixture(6, 16);
+    fixture.run(milliseconds(100));
+    for (const std::string &host : fixture.hosts()) {
+        LONGS_EQUAL(5, fixture.livePeers(host));
     }
-    // One that starts later hears of all others at once, too.
-    fleet.kill("h01");
-    fleet.run(spreadTime);
-    fleet.start("h01");
-    fleet.run(milliseconds(100));
-    LONGS_EQUAL(5, fleet.livePeers("h01"));
+    // A daemon that starts later also discovers all others at once.
+    fixture.kill("h01");
+    fixture.run(propagationTime);
+    fixture.start("h01");
+    fixture.run(milliseconds(100));
+    LONGS_EQUAL(5, fixture.livePeers("h01"));
 }
