--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -31,7 +31,7 @@
     return buildSnapshot(resources, 1, "dc1", before);
 }
 
-/// Three data centres with three endpoints each, whose prompts are kept.
+/// Returns three data centres with three endpoints each, whose pool has cache affinity.
 std::vector<Resource> threeDataCentres()
 {
     std::vector<Resource> resources = {makeResource(PoolSpec{"engines", "model-engine", 1, true})};
@@ -46,7 +46,7 @@
     return resources;
 }
 
-/// Drains as the product's own objects, told by a peer.
+/// A control machine that receives drains, as the product's own objects, from a peer.
 struct ControlFixture
 {
     ControlFixture()
@@ -75,7 +75,7 @@
     ControlMachine machine;
 };
 
-/// A platform that lists routes, endpoints and drains apart.
+/// A reader whose routes, endpoints and drains are followed by separate watchers.
 class ThreeGroupsReader final : public ObjectReader
 {
 public:
@@ -103,7 +103,7 @@
 
 TEST_GROUP(DataCentreDrain){};
 
-TEST(DataCentreDrain, NoPolicyChoosesItsEndpoints)
+TEST(DataCentreDrain, NoRoutingPolicySelectsEndpointsOfADrainedDataCentre)
 {
     const auto snapshot = snapshotOf(threeDataCentres(), {"dc1", "dc3"});
     Random random{1};
@@ -122,7 +122,7 @@
     }
 }
 
-TEST(DataCentreDrain, ItsPromptsMoveAtOnceAndNoOthers)
+TEST(DataCentreDrain, OnlyPromptsOfTheDrainedDataCentreMoveAndAtOnce)
 {
     const auto before = snapshotOf(threeDataCentres(), {});
     const auto after = snapshotOf(threeDataCentres(), {"dc2"}, before.get());
@@ -139,8 +139,9 @@
     LONGS_EQUAL(24, after->pool("engines")->totalSlots);
 }
 
-/// Work that has begun goes on, so its endpoint's counters are still there.
-TEST(DataCentreDrain, ItsEndpointsAreKnownOn)
+/// Requests in flight continue in a drained data centre, so the counters of its endpoints must
+/// be kept.
+TEST(DataCentreDrain, EndpointsOfADrainedDataCentreStayKnown)
 {
     const auto before = snapshotOf(threeDataCentres(), {});
     const auto after = snapshotOf(threeDataCentres(), {"dc2"}, before.get());
@@ -151,7 +152,7 @@
     CHECK(isUsable(*again->endpoint("engine-1"), TimePoint()));
 }
 
-TEST(DataCentreDrain, WhereAllAreDrainedARequestIsRefusedAtOnce)
+TEST(DataCentreDrain, RefusesARequestAtOnceIfAllDataCentresAreDrained)
 {
     ProxiedFixture fixture;
     fixture.snapshot = snapshotOf(proxiedConfiguration(), {"dc1", "dc2"}, fixture.snapshot.get());
@@ -161,13 +162,13 @@
     CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
 }
 
-/// What waited for an endpoint when all were drained waits in vain.
-TEST(DataCentreDrain, AWaitingRequestIsRefusedAtOnceToo)
+/// A request that waits for an endpoint must not keep waiting when all data centres are drained.
+TEST(DataCentreDrain, RefusesAQueuedRequestAtOnceIfAllDataCentresAreDrained)
 {
     ProxiedFixture fixture;
     for (int i = 0; i < 3; ++i) {
         const EndpointEntry &engine = *fixture.snapshot->endpoint(fmt::format("engine-{}", i));
-        engine.load->limit = 0; // All are full.
+        engine.load->limit = 0; // All endpoints are full.
     }
     fixture.arrive("/read/1");
     LONGS_EQUAL(0, fixture.answers.size());
@@ -178,8 +179,8 @@
     CHECK(fixture.answers.at(0).reason == Reason::NoEndpoint);
 }
 
-/// Planned work cuts nothing off.
-TEST(DataCentreDrain, WhatIsUnderWayEndsThere)
+/// A drain must not cancel requests in flight.
+TEST(DataCentreDrain, RequestsInFlightCompleteInADrainedDataCentre)
 {
     ProxiedFixture fixture(1);
     fixture.arrive("/read/1");
@@ -192,7 +193,7 @@
     LONGS_EQUAL(0, fixture.snapshot->endpoint("engine-0")->load->inFlight);
 }
 
-TEST(DataCentreDrain, PiecesAreMadeElsewhere)
+TEST(DataCentreDrain, PiecesAreComputedInOtherDataCentres)
 {
     std::vector<Resource> resources = pieceConfiguration(9, 4);
     for (std::size_t i = 1; i < resources.size(); ++i) {
@@ -212,7 +213,7 @@
     CHECK(!chosen.contains(""));
 }
 
-TEST(DataCentreDrain, OlderNewsNeitherDrainsNorTakesBack)
+TEST(DataCentreDrain, StaleUpdatesNeitherDrainNorRestore)
 {
     ControlFixture fixture;
     fixture.push(5, false);
@@ -229,7 +230,7 @@
 
 namespace {
 
-/// A host that has just started; a peer of its data centre lives.
+/// A host that has just started, with a live peer in its data centre.
 struct StartFixture
 {
     StartFixture()
@@ -242,7 +243,7 @@
             calls[isListing ? call.kind : std::string(toText(call.operation))] = call.id;
         }
     }
-    /// Whether the platform's answer to a call puts a configuration in force.
+    /// Handles the platform's answer to a call. Returns whether it puts a configuration in force.
     bool answer(const std::string &what, PlatformOutcome outcome)
     {
         PlatformResult result;
@@ -252,7 +253,7 @@
         machine.handle(result);
         return machine.drainOutput().configChanged;
     }
-    /// Whether a peer's news does.
+    /// Handles an update from a peer. Returns whether it puts a configuration in force.
     bool push(const std::string &kind, const std::string &name)
     {
         ConfigPush push;
@@ -264,14 +265,14 @@
     ManualClock clock;
     ThreeGroupsReader reader;
     ControlMachine machine;
-    std::map<std::string, std::uint64_t> calls; ///< Made at the start: by kind listed, or name.
+    std::map<std::string, std::uint64_t> calls; ///< Made at the start: by listed kind or operation.
     Version version = 0;
 };
 
 } // namespace
 
-/// A host that has just started would else send to a data centre that has been drained for long.
-TEST(DataCentreDrain, AHostThatStartsReadsThemBeforeItSendsAnything)
+/// Otherwise a host that has just started would send requests to a drained data centre.
+TEST(DataCentreDrain, AStartWaitsForDrains)
 {
     StartFixture fixture;
     CHECK(!fixture.answer("routes", PlatformOutcome::Ok));
@@ -279,10 +280,10 @@
     CHECK(fixture.answer("drains", PlatformOutcome::Ok));
 }
 
-/// Seen: a host that started while the platform refused it took its peers' configuration; when
-/// the platform answered again it held back all news for the drains that it had not read, and
-/// knew of a data centre's drain 12 s late.
-TEST(DataCentreDrain, AHostThatCouldNotReadThemGoesOnWithItsPeersNews)
+/// Guards against this failure: a host that started while the platform refused its calls used the
+/// configuration of its peers. When the platform answered again, the host delayed all updates
+/// because it had not read the drains, and applied a drain 12 s late.
+TEST(DataCentreDrain, AHostThatCannotReadDrainsAppliesUpdatesOfItsPeers)
 {
     StartFixture fixture;
     for (const char *kind : {"routes", "endpoints", "drains"}) {
@@ -290,7 +291,7 @@
     }
     CHECK(!fixture.push("endpoints", "e1"));
     CHECK(fixture.push("routes", "main"));
-    fixture.answer("hosts", PlatformOutcome::Ok); // The platform is back.
+    fixture.answer("hosts", PlatformOutcome::Ok); // The platform is available again.
     CHECK(fixture.push("drains", "dc2"));
     CHECK(fixture.push("endpoints", "e2"));
 }
