--- a/include/harelink/Kernel/claimledger.h
+++ b/include/harelink/Kernel/claimledger.h
@@ -100,7 +100,7 @@
     [[nodiscard]] std::vector<FinishReply> drainFinished();
     /// Returns when tick() is due next.
     [[nodiscard]] TimePoint nextTick() const;
-    /// Returns true if no operation waits to be written or confirmed.
+    /// Returns true if no operation is pending or part of an update in progress.
     [[nodiscard]] bool idle() const;
     [[nodiscard]] const ClaimLedgerCounters &counters() const { return m_counters; }
 
--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/claimledgerimpl.h - Definitions ----------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicClaimLedger; included only where it is instantiated.
+/// Definitions of BasicClaimLedger; to be included only where it is instantiated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,20 +19,20 @@
 
 inline constexpr std::chrono::milliseconds initialBackOff{50};
 inline constexpr std::chrono::milliseconds maxBackOff{1000};
-/// Calls without an answer in a row after which the platform counts as out.
+/// Consecutive unanswered calls after which the platform is considered unreachable.
 inline constexpr int unansweredCallsForOutage = 3;
-/// How often a bucket is read again while claims wait for a live claimant.
+/// Interval between reads of a bucket while claims wait for a live claimant.
 inline constexpr std::chrono::milliseconds waitingClaimReadInterval{250};
-/// How often an owner reads its bucket at the least.
+/// Maximum interval between reads of a bucket by its owner.
 inline constexpr std::chrono::milliseconds ownerReadInterval{2000};
-/// How often an owner reminds claimants of claims that are older than this.
+/// Interval at which an owner resends grants of claims older than this.
 inline constexpr std::chrono::milliseconds grantResendInterval{1000};
-/// How long it is remembered that a claim was given up; longer than any ledger
-/// holds on to a claim.
+/// How long released claims are retained; longer than any ledger keeps a claim
+/// pending.
 inline constexpr std::chrono::minutes releasedRetention{15};
-/// How many claimants of one key that gave up are remembered.
+/// Maximum number of released claimants recorded per key.
 inline constexpr std::size_t maxReleasedClaimants = 32;
-/// A bucket's value is never larger, with room below the platform's limit.
+/// Maximum size of a bucket's value in bytes, with margin below the platform's limit.
 inline constexpr std::size_t maxValueBytes = 950'000;
 
 inline bool contains(const std::vector<RequestId> &ids, const RequestId &id)
@@ -111,7 +111,7 @@
     Bucket &bucket = m_buckets[bucketOf(request.key)];
     ++m_counters.operations;
     if (bucket.platformDown && m_clock.now() < bucket.notBefore) {
-        // The platform is out: the caller learns at once, not at its deadline.
+        // Reject at once rather than at the deadline of the caller.
         reply(request, host, ClaimVerdict::Unavailable, {});
         return;
     }
@@ -129,7 +129,7 @@
                && !operation.maybeWritten;
     };
     std::erase_if(bucket.waiting, isUnwrittenClaim);
-    // A claim that never left this ledger needs no release.
+    // A claim that was never sent to the platform needs no release.
     std::erase_if(bucket.pending, isUnwrittenClaim);
     bucket.pending.push_back({finish, host, TimePoint::max(), false});
 }
@@ -141,7 +141,7 @@
     const auto found = records.find(request.key);
     const bool isAbsent = found == records.end();
     if (!isAbsent && claimledger::contains(found->second.releasedClaimants, request.claimant)) {
-        // A copy of a claim that was given up meanwhile.
+        // A delayed copy of a claim that was released in the meantime.
         return {ClaimVerdict::Unavailable, {}};
     }
     if (isAbsent || found->second.state == ClaimRecord::State::Released) {
@@ -205,8 +205,8 @@
     return {};
 }
 
-/// Another ledger may still hold the claim and write it later, when the
-/// claimant is gone. It must then find that the claim was given up.
+/// Another ledger may still have the claim pending and write it after the claimant
+/// is gone. The record must then show that the claim was released.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::applyRelease(const ClaimFinish &finish, ClaimRecords &records) const
 {
@@ -260,7 +260,7 @@
     if (bucket.callId != 0 || now < bucket.notBefore) {
         return;
     }
-    // A claim that nobody waits for any more must not be written.
+    // A claim whose client has timed out must not be written.
     const auto isExpired = [now](const Operation &operation) {
         return operation.expiresAt <= now && !operation.maybeWritten;
     };
@@ -315,7 +315,7 @@
                        operation.payload));
     }
     if (bucket.proposed == bucket.records && !bucket.updateInDoubt) {
-        // Nothing to write: what was read decides.
+        // Nothing to write: the current records determine the results.
         deliverResults(bucket);
         return;
     }
@@ -373,7 +373,8 @@
     bucket.platformDown = false;
     bucket.failures = 0;
     bucket.backOff = {};
-    // If it moved, the lost update is in what was just read, or never will be.
+    // If the version changed, the records just read contain the update in doubt, or it will
+    // never take effect.
     const bool isResolved = !bucket.updateInDoubt || version != bucket.version;
     bucket.loaded = true;
     bucket.version = version;
@@ -408,7 +409,7 @@
         return;
     default:
         ++m_counters.conflicts;
-        // The version has moved, so no update on the old one can arrive any more.
+        // The version has changed, so an update of the old one can no longer succeed.
         requeueBatch(bucket, false);
         bucket.updateInDoubt = false;
         bucket.loaded = false;
@@ -431,9 +432,9 @@
     recheckWaiting(bucket);
 }
 
-/// What was just read holds every update that ever will take effect. Claims that
-/// stand in it are granted at once: were they handed to the next update instead,
-/// its failure would have them refused as never written.
+/// The records just read contain every update that can still take effect. Claims
+/// that are committed in them are granted at once: as part of the next update, they
+/// would be rejected as never written if that update failed.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::resolveUpdate(Bucket &bucket)
 {
@@ -455,7 +456,7 @@
     });
 }
 
-/// Tells everyone of the batch what became of it.
+/// Sends the results of the batch.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::deliverResults(Bucket &bucket)
 {
@@ -477,7 +478,7 @@
     bucket.results.clear();
 }
 
-/// Puts the batch back in front of what came in since.
+/// Puts the batch back in front of the operations that arrived since.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::requeueBatch(Bucket &bucket, bool maybeWritten)
 {
@@ -489,8 +490,8 @@
     bucket.results.clear();
 }
 
-/// Waits before the next call. A single lost answer is no outage: only a refusal
-/// or several silences in a row make the claims that wait be refused.
+/// Delays the next call. A single lost response is not an outage: pending claims
+/// are rejected only after a refusal or several consecutive unanswered calls.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::backOff(Bucket &bucket, PlatformOutcome outcome)
 {
@@ -505,7 +506,7 @@
     }
 }
 
-/// Refuses the claims of which no byte can have been written.
+/// Rejects the claims that cannot have been written.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::rejectPending(Bucket &bucket)
 {
@@ -521,7 +522,7 @@
     bucket.pending = std::move(kept);
 }
 
-/// Looks at the waiting claims again: their key's record may have changed.
+/// Re-checks the waiting claims: the records of their keys may have changed.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::recheckWaiting(Bucket &bucket)
 {
@@ -546,15 +547,15 @@
     return m_hostLookup(incarnation).has_value();
 }
 
-/// Grants old claims again. A claimant that runs ignores it; one that gave up
-/// before its grant came, or whose grant was lost, releases the claim.
+/// Resends grants of old claims. A running claimant ignores the grant; one that
+/// gave up before its grant arrived, or whose grant was lost, releases the claim.
 template <GuardPolicy G>
 void BasicClaimLedger<G>::resendGrants(Bucket &bucket)
 {
     bucket.lastGrantResend = m_clock.now();
-    const WallTime minChangedAt = m_clock.wallNow() - claimledger::grantResendInterval;
+    const WallTime maxChangedAt = m_clock.wallNow() - claimledger::grantResendInterval;
     for (const auto &[key, record] : bucket.records) {
-        if (record.state != ClaimRecord::State::Claimed || record.changedAt > minChangedAt) {
+        if (record.state != ClaimRecord::State::Claimed || record.changedAt > maxChangedAt) {
             continue;
         }
         if (const std::optional<std::string> host = m_hostLookup(record.claimant.incarnation)) {
--- a/include/harelink/Kernel/claimrouterimpl.h
+++ b/include/harelink/Kernel/claimrouterimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/claimrouterimpl.h - Definitions ----------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicClaimRouter; included only where it is instantiated.
+/// Definitions of BasicClaimRouter; to be included only where it is instantiated.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,12 +17,12 @@
 
 namespace claimrouter {
 
-/// After this time without an answer an owner is asked again.
+/// Delay before a message is resent to an owner that has not answered.
 inline constexpr std::chrono::milliseconds retryInterval{150};
-/// How often an owner is asked before the own ledger takes over.
+/// Number of attempts to reach an owner before falling back to the local ledger.
 inline constexpr int maxAttempts = 2;
-/// While so many ends wait to be written, the platform being out, new claims are
-/// refused at once.
+/// Maximum number of outcomes that wait to be written during a platform outage.
+/// At this number, new claims are rejected at once.
 inline constexpr std::size_t maxUnwrittenFinishes = 10'000;
 
 } // namespace claimrouter
@@ -107,7 +107,7 @@
     pending.isLocal = false;
     pending.expiresAt = TimePoint::max();
     if (isInLocalLedger) {
-        // The end must not overtake the claim, which may still wait there.
+        // The outcome must not overtake the claim, which may still be pending there.
         pending.isLocal = true;
         submitLocally(finish);
         return;
@@ -122,10 +122,10 @@
     const bool isKnown = found != m_claims.end();
     if (isKnown && decision.verdict == ClaimVerdict::Unavailable && byPeer) {
         if (found->second.isLocal) {
-            // The own ledger has it by now and will say how it stands.
+            // The local ledger has the claim by now and will decide it.
             return;
         }
-        // The owner cannot reach the platform. This daemon may.
+        // The owner cannot reach the platform, but this daemon may be able to.
         found->second.attempts = claimrouter::maxAttempts;
         send(found->second);
         return;
@@ -135,10 +135,10 @@
     if (isKnown) {
         m_claims.erase(found);
     }
-    // An unknown claim's grant is passed on as well: its request gives it back.
+    // The grant of an unknown claim is forwarded as well, so that its request releases it.
     m_decisions.push_back(decision);
-    // A copy of it may still be on its way to an owner, and would be written. Only
-    // the request itself may release it: it alone knows that it never will run.
+    // A copy of the claim may still be in flight to an owner and be written. Only the
+    // request may release it, since only the request can rule out that it will run.
     m_decisions.back().inDoubt = inDoubt;
 }
 
