--- a/unittests/Kernel/claimledgertest.cpp
+++ b/unittests/Kernel/claimledgertest.cpp
@@ -10,10 +10,10 @@
 
 constexpr Version firstVersion = 1;
 
-/// A ledger whose platform calls are answered by hand.
-struct LedgerBench
+/// A ledger whose platform calls are answered by the test.
+struct LedgerFixture
 {
-    LedgerBench()
+    LedgerFixture()
         : ledger(clock, [](Incarnation) { return std::optional<std::string>(std::string()); }, {})
     {
     }
@@ -27,7 +27,7 @@
         request.timeout = std::chrono::seconds(10);
         ledger.claim(request, {});
     }
-    /// The next call that the ledger makes.
+    /// Returns the next platform call of the ledger.
     PlatformCall nextCall()
     {
         std::vector<PlatformCall> calls;
@@ -58,58 +58,58 @@
 
 TEST_GROUP(ClaimLedger)
 {
-    LedgerBench bench;
+    LedgerFixture fixture;
 };
 
-TEST(ClaimLedger, GrantsOnlyOnceTheUpdateIsWritten)
+TEST(ClaimLedger, GrantsOnlyAfterTheUpdateIsWritten)
 {
-    bench.claim(1);
-    bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
-    const PlatformCall put = bench.nextCall();
+    fixture.claim(1);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::NotFound);
+    const PlatformCall put = fixture.nextCall();
     CHECK(put.operation == PlatformOperation::Put);
     CHECK_EQUAL(0u, put.ifVersion);
-    CHECK(bench.ledger.drainReplies().empty());
-    bench.answer(put, PlatformOutcome::Ok, firstVersion);
-    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Granted);
+    CHECK(fixture.ledger.drainReplies().empty());
+    fixture.answer(put, PlatformOutcome::Ok, firstVersion);
+    CHECK(fixture.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Granted);
 }
 
-TEST(ClaimLedger, AnUnmovedVersionSettlesNothing)
+TEST(ClaimLedger, RewritesAnUpdateInDoubtIfTheVersionIsUnchanged)
 {
-    bench.claim(1);
-    bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
-    bench.answer(bench.nextCall(), PlatformOutcome::Unanswered);
-    bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
-    // It may yet arrive, so the same is written on the same version again.
-    const PlatformCall again = bench.nextCall();
-    CHECK(again.operation == PlatformOperation::Put);
-    CHECK_EQUAL(0u, again.ifVersion);
-    CHECK(bench.ledger.drainReplies().empty());
+    fixture.claim(1);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::NotFound);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::Unanswered);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::NotFound);
+    // The first update may still arrive, so it is written over the same version again.
+    const PlatformCall secondPut = fixture.nextCall();
+    CHECK(secondPut.operation == PlatformOperation::Put);
+    CHECK_EQUAL(0u, secondPut.ifVersion);
+    CHECK(fixture.ledger.drainReplies().empty());
 }
 
-// The claim was handed to the next update, whose refusal then had it refused as
-// never written although it stood in the platform.
-TEST(ClaimLedger, AClaimThatWasFoundWrittenIsGrantedAtOnce)
+// Guards against adding a claim that is already committed in the platform to the next
+// update: if that update was refused, the claim was rejected as never written.
+TEST(ClaimLedger, GrantsAClaimFoundInTheRecordsAtOnce)
 {
-    bench.claim(1);
-    bench.answer(bench.nextCall(), PlatformOutcome::NotFound);
-    const PlatformCall put = bench.nextCall();
-    bench.answer(put, PlatformOutcome::Unanswered);
-    bench.claim(2);
-    bench.answer(bench.nextCall(), PlatformOutcome::Ok, firstVersion, put.value);
-    const std::vector<ClaimReply> replies = bench.ledger.drainReplies();
+    fixture.claim(1);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::NotFound);
+    const PlatformCall put = fixture.nextCall();
+    fixture.answer(put, PlatformOutcome::Unanswered);
+    fixture.claim(2);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::Ok, firstVersion, put.value);
+    const std::vector<ClaimReply> replies = fixture.ledger.drainReplies();
     CHECK_EQUAL(1u, replies.size());
     CHECK_EQUAL(1u, replies[0].decision.claimant.sequence);
     CHECK(replies[0].decision.verdict == ClaimVerdict::Granted);
 }
 
-TEST(ClaimLedger, OneSilenceIsNoOutage)
+TEST(ClaimLedger, OneUnansweredCallIsNoOutage)
 {
-    bench.claim(1);
-    bench.answer(bench.nextCall(), PlatformOutcome::Unanswered);
-    CHECK(bench.ledger.drainReplies().empty());
-    bench.answer(bench.nextCall(), PlatformOutcome::Refused);
-    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
-    // Known to be out: the next one learns it at once.
-    bench.claim(2);
-    CHECK(bench.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
+    fixture.claim(1);
+    fixture.answer(fixture.nextCall(), PlatformOutcome::Unanswered);
+    CHECK(fixture.ledger.drainReplies().empty());
+    fixture.answer(fixture.nextCall(), PlatformOutcome::Refused);
+    CHECK(fixture.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
+    // The platform is considered unreachable: the next claim is rejected at once.
+    fixture.claim(2);
+    CHECK(fixture.ledger.drainReplies().at(0).decision.verdict == ClaimVerdict::Unavailable);
 }
--- a/unittests/Kernel/crashcountertest.cpp
+++ b/unittests/Kernel/crashcountertest.cpp
@@ -1,4 +1,4 @@
-//===- crashcountertest.cpp - Tests of ends under requests ----------------===//
+//===- crashcountertest.cpp - Tests of crash counting ---------------------===//
 
 #include "harelink/Kernel/crashcounter.h"
 #include "harelink/Kernel/crashconfirmer.h"
@@ -12,13 +12,14 @@
 
 namespace {
 
-const Hash128 guilty = hash128("guilty");
-const Hash128 innocent = hash128("innocent");
+const Hash128 crashing = hash128("guilty");
+const Hash128 unrelated = hash128("innocent");
 
-struct CounterBench
+struct CounterFixture
 {
-    /// A call of \p digest that was sent \p ago before now broke as its endpoint ended.
-    bool end(const Hash128 &digest, const std::string &endpoint, Duration ago = milliseconds(100))
+    /// Records that \p endpoint crashed during a call that was sent \p ago before now. Returns
+    /// whether the crashes suffice for a quarantine.
+    bool crash(const Hash128 &digest, const std::string &endpoint, Duration ago = milliseconds(100))
     {
         return !counter.recordCrash(digest, endpoint, clock.now() - ago, clock.now()).empty();
     }
@@ -40,119 +41,119 @@
 
 TEST_GROUP(CrashCounter){};
 
-TEST(CrashCounter, TheThirdEndOneAfterTheOtherTells)
+TEST(CrashCounter, ReportsTheThirdConsecutiveCrash)
 {
-    CounterBench bench;
-    CHECK_FALSE(bench.end(guilty, "e1"));
-    bench.clock.advance(milliseconds(500));
-    CHECK_FALSE(bench.end(guilty, "e2"));
-    CHECK_FALSE(bench.end(innocent, "e2"));
-    bench.clock.advance(milliseconds(500));
-    CHECK_TRUE(bench.end(guilty, "e3"));
+    CounterFixture fixture;
+    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    fixture.clock.advance(milliseconds(500));
+    CHECK_FALSE(fixture.crash(crashing, "e2"));
+    CHECK_FALSE(fixture.crash(unrelated, "e2"));
+    fixture.clock.advance(milliseconds(500));
+    CHECK_TRUE(fixture.crash(crashing, "e3"));
 }
 
-// All endpoints of a pool end at once; a request that is asked for all the time stands at
-// each of them.
-TEST(CrashCounter, EndpointsThatEndTogetherAccuseNobody)
+// All endpoints of a pool crash at the same time while a request that is sent continuously
+// runs on each of them.
+TEST(CrashCounter, CountsSimultaneousCrashesOnce)
 {
-    CounterBench bench;
+    CounterFixture fixture;
     for (int i = 0; i < 12; ++i) {
-        CHECK_FALSE(bench.end(innocent, fmt::format("e{}", i)));
-        bench.clock.advance(milliseconds(3));
+        CHECK_FALSE(fixture.crash(unrelated, fmt::format("e{}", i)));
+        fixture.clock.advance(milliseconds(3));
     }
-    bench.clock.advance(milliseconds(3000));
-    CHECK_FALSE(bench.end(innocent, "e20"));
+    fixture.clock.advance(milliseconds(3000));
+    CHECK_FALSE(fixture.crash(unrelated, "e20"));
 }
 
-TEST(CrashCounter, AGoodEndClearsARequest)
+TEST(CrashCounter, ForgetsCrashesAfterASuccessfulCompletion)
 {
-    CounterBench bench;
-    CHECK_FALSE(bench.end(innocent, "e1"));
-    bench.clock.advance(milliseconds(500));
-    CHECK_FALSE(bench.end(innocent, "e2"));
-    bench.counter.clear(innocent);
-    bench.clock.advance(milliseconds(500));
-    CHECK_FALSE(bench.end(innocent, "e3"));
+    CounterFixture fixture;
+    CHECK_FALSE(fixture.crash(unrelated, "e1"));
+    fixture.clock.advance(milliseconds(500));
+    CHECK_FALSE(fixture.crash(unrelated, "e2"));
+    fixture.counter.clear(unrelated);
+    fixture.clock.advance(milliseconds(500));
+    CHECK_FALSE(fixture.crash(unrelated, "e3"));
 }
 
-TEST(CrashCounter, AnEndThatIsToldAgainLaterCountsOnce)
+TEST(CrashCounter, IgnoresDuplicateReportsOfACrash)
 {
-    CounterBench bench;
+    CounterFixture fixture;
     for (int i = 0; i < 5; ++i) {
-        CHECK_FALSE(bench.end(guilty, "e1"));
-        bench.clock.advance(milliseconds(300));
+        CHECK_FALSE(fixture.crash(crashing, "e1"));
+        fixture.clock.advance(milliseconds(300));
     }
 }
 
-TEST(CrashCounter, AnEndpointThatIsBackUnderItsNameCountsAgain)
+TEST(CrashCounter, CountsCrashesOfARestartedEndpoint)
 {
-    CounterBench bench;
-    CHECK_FALSE(bench.end(guilty, "e1"));
-    bench.clock.advance(milliseconds(2500));
-    CHECK_FALSE(bench.end(guilty, "e1"));
-    bench.clock.advance(milliseconds(2500));
-    CHECK_TRUE(bench.end(guilty, "e1"));
+    CounterFixture fixture;
+    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    fixture.clock.advance(milliseconds(2500));
+    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    fixture.clock.advance(milliseconds(2500));
+    CHECK_TRUE(fixture.crash(crashing, "e1"));
 }
 
-TEST(CrashCounter, WhatIsLongAgoIsNotHeldAgainstARequest)
+TEST(CrashCounter, ForgetsCrashesAfterTheRetentionPeriod)
 {
-    CounterBench bench;
+    CounterFixture fixture;
     for (int i = 0; i < 6; ++i) {
-        CHECK_FALSE(bench.end(innocent, fmt::format("e{}", i)));
-        bench.clock.advance(std::chrono::minutes(31));
+        CHECK_FALSE(fixture.crash(unrelated, fmt::format("e{}", i)));
+        fixture.clock.advance(std::chrono::minutes(31));
     }
 }
 
-TEST(CrashCounter, AmongThousandsOfSuspectsTheLikeliestStays)
+TEST(CrashCounter, EvictsTheLeastSuspiciousRequestsFirst)
 {
-    CounterBench bench;
-    CHECK_FALSE(bench.end(guilty, "e1"));
-    bench.clock.advance(milliseconds(500));
-    CHECK_FALSE(bench.end(guilty, "e2"));
+    CounterFixture fixture;
+    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    fixture.clock.advance(milliseconds(500));
+    CHECK_FALSE(fixture.crash(crashing, "e2"));
     for (int i = 0; i < 5000; ++i) {
-        bench.clock.advance(milliseconds(1));
-        CHECK_FALSE(bench.end(hash128(fmt::format("{}", i)), "e3"));
+        fixture.clock.advance(milliseconds(1));
+        CHECK_FALSE(fixture.crash(hash128(fmt::format("{}", i)), "e3"));
     }
-    CHECK(bench.counter.size() <= 4096);
-    CHECK_TRUE(bench.end(guilty, "e4"));
+    CHECK(fixture.counter.size() <= 4096);
+    CHECK_TRUE(fixture.crash(crashing, "e4"));
 }
 
 TEST_GROUP(CrashConfirmer){};
 
-TEST(CrashConfirmer, OnlyWhereNobodyListensHasTheEndpointEnded)
+TEST(CrashConfirmer, ConfirmsACrashOnlyIfTheConnectionIsRefused)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(innocent));
+    confirmer.add(brokenCall(unrelated));
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(0, confirmer.drainConfirmed().size());
-    confirmer.add(brokenCall(innocent));
+    confirmer.add(brokenCall(unrelated));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Unknown});
     LONGS_EQUAL(0, confirmer.drainConfirmed().size());
-    confirmer.add(brokenCall(guilty));
+    confirmer.add(brokenCall(crashing));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
-    CHECK(confirmer.drainConfirmed().at(0).digest == guilty);
+    CHECK(confirmer.drainConfirmed().at(0).digest == crashing);
 }
 
-// The probe may have met the endpoint before it ended.
-TEST(CrashConfirmer, ACallThatBreaksDuringAProbeWaitsForTheNext)
+// The probe may have reached the endpoint before it crashed.
+TEST(CrashConfirmer, ProbesAgainForACallThatBreaksDuringAProbe)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(innocent));
-    confirmer.add(brokenCall(guilty));
+    confirmer.add(brokenCall(unrelated));
+    confirmer.add(brokenCall(crashing));
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
     const std::vector<BrokenCall> confirmed = confirmer.drainConfirmed();
     LONGS_EQUAL(1, confirmed.size());
-    CHECK(confirmed.at(0).digest == guilty);
+    CHECK(confirmed.at(0).digest == crashing);
 }
 
-TEST(CrashConfirmer, ALifeThatIsKnownToBeOverIsNotAskedFor)
+TEST(CrashConfirmer, DoesNotProbeAnEndpointKnownToBeGone)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(guilty, ""));
+    confirmer.add(brokenCall(crashing, ""));
     LONGS_EQUAL(0, confirmer.drainProbes().size());
     LONGS_EQUAL(1, confirmer.drainConfirmed().size());
 }
--- a/unittests/Kernel/quarantinepublishertest.cpp
+++ b/unittests/Kernel/quarantinepublishertest.cpp
@@ -1,4 +1,4 @@
-//===- quarantinepublishertest.cpp - Tests of declared quarantines -------------===//
+//===- quarantinepublishertest.cpp - Tests of declared quarantines --------===//
 
 #include "harelink/Kernel/quarantinepublisher.h"
 
@@ -14,14 +14,14 @@
 
 constexpr const char *kind = "Quarantine";
 
-struct BookBench
+struct PublisherFixture
 {
-    BookBench() { clock.advance(hours(1000)); } // Room for what is long ago.
+    PublisherFixture() { clock.advance(hours(1000)); } // So that times in the past are valid.
 
     std::vector<PlatformCall> tick()
     {
         std::vector<PlatformCall> calls;
-        book.tick(table.entries(), calls, nextCallId);
+        publisher.tick(table.entries(), calls, nextCallId);
         return calls;
     }
     std::vector<PlatformCall> tickAfter(Duration time)
@@ -29,31 +29,31 @@
         clock.advance(time);
         return tick();
     }
-    void end(const PlatformCall &call, PlatformOutcome outcome)
+    void completeCall(const PlatformCall &call, PlatformOutcome outcome)
     {
         PlatformResult result;
         result.id = call.id;
         result.outcome = outcome;
-        CHECK_TRUE(book.handle(result));
+        CHECK_TRUE(publisher.handle(result));
     }
-    /// What stands in the platform is seen here.
-    void see(const std::string &name, const std::string &value, bool deleted = false)
+    /// Applies an object of the platform to the local table.
+    void applyObject(const std::string &name, const std::string &value, bool deleted = false)
     {
         (void)table.apply({kind, name, ++version, deleted, value});
     }
-    void seeOld(const std::string &text, Duration age)
+    void applyQuarantine(const std::string &text, Duration age)
     {
         QuarantineSpec spec;
         spec.digest = hash128(text);
         spec.pool = "engines";
         spec.since = clock.wallNow() - std::chrono::duration_cast<milliseconds>(age);
         spec.until = spec.since + hours(24);
-        see(toHex(spec.digest), quarantineDocument(spec).dump());
+        applyObject(toHex(spec.digest), quarantineDocument(spec).dump());
     }
 
     ManualClock clock;
     ConfigTable table;
-    QuarantinePublisher book{clock, kind, hours(24)};
+    QuarantinePublisher publisher{clock, kind, hours(24)};
     std::uint64_t nextCallId = 1;
     Version version = 0;
     Hash128 digest = hash128("guilty");
@@ -63,63 +63,65 @@
 
 TEST_GROUP(QuarantinePublisher){};
 
-TEST(QuarantinePublisher, ADecisionIsDeclaredOnceAndForgottenWhenItIsSeen)
+TEST(QuarantinePublisher, DeclaresADecisionOnceAndDropsItWhenVisible)
 {
-    BookBench bench;
-    bench.book.add(bench.digest, "engines", {"e1", "e2", "e3"});
-    LONGS_EQUAL(1, bench.book.unpublished().size());
-    const std::vector<PlatformCall> calls = bench.tick();
+    PublisherFixture fixture;
+    fixture.publisher.add(fixture.digest, "engines", {"e1", "e2", "e3"});
+    LONGS_EQUAL(1, fixture.publisher.unpublished().size());
+    const std::vector<PlatformCall> calls = fixture.tick();
     LONGS_EQUAL(1, calls.size());
     LONGS_EQUAL(0, calls.at(0).ifVersion);
-    LONGS_EQUAL(0, bench.tickAfter(milliseconds(1000)).size());
-    bench.end(calls.at(0), PlatformOutcome::Ok);
-    bench.see(calls.at(0).name, calls.at(0).value);
-    LONGS_EQUAL(0, bench.tickAfter(milliseconds(10)).size());
-    LONGS_EQUAL(0, bench.book.unpublished().size());
-    LONGS_EQUAL(0, bench.tickAfter(milliseconds(60'000)).size());
-    const auto spec = std::get<QuarantineSpec>(bench.table.resources().at(0).spec);
-    CHECK(spec.digest == bench.digest);
+    LONGS_EQUAL(0, fixture.tickAfter(milliseconds(1000)).size());
+    fixture.completeCall(calls.at(0), PlatformOutcome::Ok);
+    fixture.applyObject(calls.at(0).name, calls.at(0).value);
+    LONGS_EQUAL(0, fixture.tickAfter(milliseconds(10)).size());
+    LONGS_EQUAL(0, fixture.publisher.unpublished().size());
+    LONGS_EQUAL(0, fixture.tickAfter(milliseconds(60'000)).size());
+    const auto spec = std::get<QuarantineSpec>(fixture.table.resources().at(0).spec);
+    CHECK(spec.digest == fixture.digest);
     LONGS_EQUAL(3, spec.endpoints.size());
 }
 
-TEST(QuarantinePublisher, WhileThePlatformIsAwayItIsTriedAgainAtGrowingIntervals)
+TEST(QuarantinePublisher, RetriesWithBackOffWhileThePlatformIsUnreachable)
 {
-    BookBench bench;
-    bench.book.add(bench.digest, "engines", {"e1"});
+    PublisherFixture fixture;
+    fixture.publisher.add(fixture.digest, "engines", {"e1"});
     int calls = 0;
     for (int i = 0; i < 200; ++i) {
-        for (const PlatformCall &call : bench.tickAfter(milliseconds(50))) {
+        for (const PlatformCall &call : fixture.tickAfter(milliseconds(50))) {
             ++calls;
-            bench.end(call, PlatformOutcome::Unanswered);
+            fixture.completeCall(call, PlatformOutcome::Unanswered);
         }
     }
     CHECK(calls >= 5);
     CHECK(calls <= 10);
-    LONGS_EQUAL(1, bench.book.unpublished().size());
+    LONGS_EQUAL(1, fixture.publisher.unpublished().size());
 }
 
-TEST(QuarantinePublisher, WhatAnotherDeclaredAMomentAgoIsWaitedFor)
+TEST(QuarantinePublisher, WaitsForAQuarantineDeclaredByAnotherDaemon)
 {
-    BookBench bench;
-    bench.book.add(bench.digest, "engines", {"e1"});
-    bench.end(bench.tick().at(0), PlatformOutcome::Conflict);
-    LONGS_EQUAL(0, bench.tickAfter(milliseconds(1000)).size());
-    bench.see(
-        toHex(bench.digest),
-        quarantineDocument(
-            {bench.digest, "engines", {}, bench.clock.wallNow(), bench.clock.wallNow() + hours(24)})
-            .dump());
-    LONGS_EQUAL(0, bench.tickAfter(milliseconds(60'000)).size());
+    PublisherFixture fixture;
+    fixture.publisher.add(fixture.digest, "engines", {"e1"});
+    fixture.completeCall(fixture.tick().at(0), PlatformOutcome::Conflict);
+    LONGS_EQUAL(0, fixture.tickAfter(milliseconds(1000)).size());
+    fixture.applyObject(toHex(fixture.digest),
+                        quarantineDocument({fixture.digest,
+                                            "engines",
+                                            {},
+                                            fixture.clock.wallNow(),
+                                            fixture.clock.wallNow() + hours(24)})
+                            .dump());
+    LONGS_EQUAL(0, fixture.tickAfter(milliseconds(60'000)).size());
 }
 
-TEST(QuarantinePublisher, OneThatHasRunOutIsReplacedAndOthersAreRemoved)
+TEST(QuarantinePublisher, ReplacesAnExpiredQuarantineAndRemovesOthers)
 {
-    BookBench bench;
-    bench.seeOld("guilty", hours(25));
-    bench.seeOld("another", hours(30));
-    bench.seeOld("young", hours(1));
-    bench.book.add(bench.digest, "engines", {"e1"});
-    const std::vector<PlatformCall> calls = bench.tick();
+    PublisherFixture fixture;
+    fixture.applyQuarantine("guilty", hours(25));
+    fixture.applyQuarantine("another", hours(30));
+    fixture.applyQuarantine("young", hours(1));
+    fixture.publisher.add(fixture.digest, "engines", {"e1"});
+    const std::vector<PlatformCall> calls = fixture.tick();
     LONGS_EQUAL(2, calls.size());
     CHECK(calls.at(0).operation == PlatformOperation::Delete);
     STRCMP_EQUAL(toHex(hash128("another")).c_str(), calls.at(0).name.c_str());
@@ -127,25 +129,25 @@
     LONGS_EQUAL(1, calls.at(1).ifVersion);
 }
 
-TEST(QuarantinePublisher, TheOldestGoWhereTheyWouldBeTooMany)
+TEST(QuarantinePublisher, RemovesTheOldestBeyondTheLimit)
 {
-    BookBench bench;
+    PublisherFixture fixture;
     for (int i = 0; i < 1010; ++i) {
-        bench.seeOld(fmt::format("{}", i), std::chrono::minutes(1010 - i));
+        fixture.applyQuarantine(fmt::format("{}", i), std::chrono::minutes(1010 - i));
     }
-    bench.book.add(bench.digest, "engines", {"e1"});
-    const std::vector<PlatformCall> calls = bench.tick();
+    fixture.publisher.add(fixture.digest, "engines", {"e1"});
+    const std::vector<PlatformCall> calls = fixture.tick();
     LONGS_EQUAL(5, calls.size());
     STRCMP_EQUAL(toHex(hash128("0")).c_str(), calls.at(0).name.c_str());
 }
 
-TEST(QuarantinePublisher, OneThatAnOperatorLiftedMayBeDecidedAgain)
+TEST(QuarantinePublisher, DeclaresAgainAfterAnOperatorDeletedAQuarantine)
 {
-    BookBench bench;
-    bench.seeOld("guilty", hours(1));
-    bench.see(toHex(bench.digest), "", true);
-    bench.book.add(bench.digest, "engines", {"e1"});
-    const std::vector<PlatformCall> calls = bench.tick();
+    PublisherFixture fixture;
+    fixture.applyQuarantine("guilty", hours(1));
+    fixture.applyObject(toHex(fixture.digest), "", true);
+    fixture.publisher.add(fixture.digest, "engines", {"e1"});
+    const std::vector<PlatformCall> calls = fixture.tick();
     LONGS_EQUAL(1, calls.size());
     LONGS_EQUAL(0, calls.at(0).ifVersion);
 }
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -1,4 +1,4 @@
-//===- quarantinetest.cpp - Tests of requests that are not run ------------===//
+//===- quarantinetest.cpp - Tests of request quarantine -------------------===//
 
 #include "controlfixture.h"
 #include "proxiedfixture.h"
@@ -11,29 +11,29 @@
 
 namespace {
 
-/// Puts requests with \p digest under quarantine for \p length from now on.
-void quarantine(ProxiedFixture &bench, const Hash128 &digest, milliseconds length)
+/// Quarantines requests with \p digest for \p duration from now on.
+void quarantine(ProxiedFixture &fixture, const Hash128 &digest, milliseconds duration)
 {
     std::vector<Resource> resources = proxiedConfiguration();
     QuarantineSpec spec;
     spec.digest = digest;
-    spec.until = bench.clock.wallNow() + length;
+    spec.until = fixture.clock.wallNow() + duration;
     resources.push_back(makeResource(spec));
-    bench.snapshot = buildSnapshot(resources, 2, "dc1", bench.snapshot.get());
+    fixture.snapshot = buildSnapshot(resources, 2, "dc1", fixture.snapshot.get());
 }
 
-/// The digest of what bench.arrive(\p path) brings.
-Hash128 digestAt(const std::string &path)
+/// Returns the digest of a call of a request that arrives with \p path.
+Hash128 digestOfCall(const std::string &path)
 {
-    ProxiedFixture bench;
-    bench.arrive(path);
-    bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
-    return bench.broken.at(0).broken.digest;
+    ProxiedFixture fixture;
+    fixture.arrive(path);
+    fixture.fail(fixture.sends.at(0), SendEvidence::Sent, std::nullopt, true);
+    return fixture.broken.at(0).broken.digest;
 }
 
-struct ControlBench
+struct ControlFixture
 {
-    ControlBench()
+    ControlFixture()
         : machine(clock, controlOptions())
     {
         for (const Incarnation host : {2, 3, 4}) {
@@ -49,11 +49,12 @@
         machine.handle(PeerMessage{"h2", 2, push});
         (void)machine.drainOutput();
     }
-    /// The reports that a broken call brings once nobody listens at its endpoint.
-    std::vector<PeerSend> reportsOfEnd()
+    /// Answers the probe of a broken call with a refused connection and returns the crash reports
+    /// that the daemon then sends.
+    std::vector<PeerSend> crashReportsAfterProbe()
     {
-        const ControlOutput asked = machine.drainOutput();
-        LONGS_EQUAL(1, asked.probes.size());
+        const ControlOutput probeOutput = machine.drainOutput();
+        LONGS_EQUAL(1, probeOutput.probes.size());
         machine.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
         std::vector<PeerSend> reports;
         const ControlOutput output = machine.drainOutput();
@@ -73,105 +74,105 @@
 
 TEST_GROUP(Quarantine){};
 
-TEST(Quarantine, ACopyUnderAnotherIdIsRefusedBeforeAnythingIsSpent)
+TEST(Quarantine, RejectsARetryUnderAnotherIdBeforeAnySend)
 {
-    ProxiedFixture bench;
-    quarantine(bench, digestAt("/say/1"), std::chrono::hours(1));
-    bench.arrive("/say/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    CHECK(bench.answers.at(0).reason == Reason::Quarantined);
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
-    CHECK(bench.answers.at(0).retryAfter == std::chrono::hours(1));
+    ProxiedFixture fixture;
+    quarantine(fixture, digestOfCall("/say/1"), std::chrono::hours(1));
+    fixture.arrive("/say/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    CHECK(fixture.answers.at(0).reason == Reason::Quarantined);
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
+    CHECK(fixture.answers.at(0).retryAfter == std::chrono::hours(1));
 }
 
-TEST(Quarantine, OthersAreServedAsEver)
+TEST(Quarantine, DoesNotAffectOtherRequests)
 {
-    ProxiedFixture bench;
-    quarantine(bench, digestAt("/say/1"), std::chrono::hours(1));
-    bench.arrive("/say/2");
-    bench.arrive("/say/1", "key-none");
-    LONGS_EQUAL(1, bench.sends.size());
-    CHECK(bench.answers.at(0).reason == Reason::UnknownAccount);
+    ProxiedFixture fixture;
+    quarantine(fixture, digestOfCall("/say/1"), std::chrono::hours(1));
+    fixture.arrive("/say/2");
+    fixture.arrive("/say/1", "key-none");
+    LONGS_EQUAL(1, fixture.sends.size());
+    CHECK(fixture.answers.at(0).reason == Reason::UnknownAccount);
 }
 
-TEST(Quarantine, WhenItHasRunOutTheRequestIsRunAgain)
+TEST(Quarantine, RunsTheRequestAgainAfterExpiry)
 {
-    ProxiedFixture bench;
-    quarantine(bench, digestAt("/say/1"), milliseconds(500));
-    bench.clock.advance(milliseconds(600));
-    bench.arrive("/say/1");
-    LONGS_EQUAL(1, bench.sends.size());
+    ProxiedFixture fixture;
+    quarantine(fixture, digestOfCall("/say/1"), milliseconds(500));
+    fixture.clock.advance(milliseconds(600));
+    fixture.arrive("/say/1");
+    LONGS_EQUAL(1, fixture.sends.size());
 }
 
-TEST(Quarantine, ACopyThatWaitsIsRefusedBeforeItsSend)
+TEST(Quarantine, RejectsAQueuedRequestBeforeItsSend)
 {
-    ProxiedFixture bench(0);
-    // No endpoint is left: it waits to be sent.
-    bench.snapshot = buildSnapshot(proxiedConfiguration(1), 1, "dc1", nullptr);
-    for (const auto &endpoint : bench.snapshot->pool("engines")->endpoints) {
+    ProxiedFixture fixture(0);
+    // No endpoint is available, so the request is queued.
+    fixture.snapshot = buildSnapshot(proxiedConfiguration(1), 1, "dc1", nullptr);
+    for (const auto &endpoint : fixture.snapshot->pool("engines")->endpoints) {
         endpoint.load->limit.store(0);
     }
-    bench.arrive("/record/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    quarantine(bench, digestAt("/record/1"), std::chrono::hours(1));
-    bench.advance(milliseconds(10));
-    LONGS_EQUAL(0, bench.sends.size());
-    CHECK(bench.answers.at(0).reason == Reason::Quarantined);
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
+    fixture.arrive("/record/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    quarantine(fixture, digestOfCall("/record/1"), std::chrono::hours(1));
+    fixture.advance(milliseconds(10));
+    LONGS_EQUAL(0, fixture.sends.size());
+    CHECK(fixture.answers.at(0).reason == Reason::Quarantined);
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
 }
 
-TEST(Quarantine, ARetryIsNotSentAndNotCalledUnrun)
+TEST(Quarantine, DoesNotRetryAndReportsAnUnknownOutcome)
 {
-    ProxiedFixture bench;
-    bench.arrive("/read/1");
-    quarantine(bench, digestAt("/read/1"), std::chrono::hours(1));
-    bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
-    LONGS_EQUAL(1, bench.sends.size());
-    CHECK(bench.answers.at(0).reason == Reason::Quarantined);
-    CHECK(bench.answers.at(0).outcome == Outcome::Unknown);
+    ProxiedFixture fixture;
+    fixture.arrive("/read/1");
+    quarantine(fixture, digestOfCall("/read/1"), std::chrono::hours(1));
+    fixture.fail(fixture.sends.at(0), SendEvidence::Sent, std::nullopt, true);
+    LONGS_EQUAL(1, fixture.sends.size());
+    CHECK(fixture.answers.at(0).reason == Reason::Quarantined);
+    CHECK(fixture.answers.at(0).outcome == Outcome::Unknown);
 }
 
-TEST(Quarantine, PiecesOfSuchARequestAreGivenUpAndFreed)
+TEST(Quarantine, AbandonsAndFreesThePiecesOfTheRequest)
 {
-    ProxiedFixture bench;
-    bench.arrive("/brief/1", "key-1", {1, 1});
-    const PieceId first = bench.orders.at(0).orders.at(0).id;
-    quarantine(bench, bench.orders.at(0).orders.at(0).digest, std::chrono::hours(1));
-    bench.pieceEnded(first, "made");
-    CHECK(bench.answers.at(0).reason == Reason::Quarantined);
-    LONGS_EQUAL(1, bench.frees.size());
-    LONGS_EQUAL(1, bench.orders.size());
+    ProxiedFixture fixture;
+    fixture.arrive("/brief/1", "key-1", {1, 1});
+    const PieceId first = fixture.orders.at(0).orders.at(0).id;
+    quarantine(fixture, fixture.orders.at(0).orders.at(0).digest, std::chrono::hours(1));
+    fixture.pieceEnded(first, "made");
+    CHECK(fixture.answers.at(0).reason == Reason::Quarantined);
+    LONGS_EQUAL(1, fixture.frees.size());
+    LONGS_EQUAL(1, fixture.orders.size());
 }
 
-TEST(Quarantine, AGoodEndOfASuspectIsTold)
+TEST(Quarantine, ReportsTheSuccessfulCompletionOfASuspect)
 {
-    ProxiedFixture bench;
-    bench.machine.handle(RequestSuspected{digestAt("/say/1")}, *bench.snapshot);
-    bench.arrive("/say/2");
-    bench.answer(bench.sends.at(0));
-    LONGS_EQUAL(0, bench.cleared.size());
-    bench.arrive("/say/1");
-    bench.answer(bench.sends.at(1));
-    LONGS_EQUAL(1, bench.cleared.size());
-    // Once: the next end under it would be told anew.
-    bench.arrive("/say/1");
-    bench.answer(bench.sends.at(2));
-    LONGS_EQUAL(1, bench.cleared.size());
+    ProxiedFixture fixture;
+    fixture.machine.handle(RequestSuspected{digestOfCall("/say/1")}, *fixture.snapshot);
+    fixture.arrive("/say/2");
+    fixture.answer(fixture.sends.at(0));
+    LONGS_EQUAL(0, fixture.cleared.size());
+    fixture.arrive("/say/1");
+    fixture.answer(fixture.sends.at(1));
+    LONGS_EQUAL(1, fixture.cleared.size());
+    // Reported only once: a later crash would be reported anew.
+    fixture.arrive("/say/1");
+    fixture.answer(fixture.sends.at(2));
+    LONGS_EQUAL(1, fixture.cleared.size());
 }
 
-TEST(Quarantine, AnEndIsToldToTwoHostsAtTheMost)
+TEST(Quarantine, ReportsACrashToAtMostTwoHosts)
 {
-    ControlBench bench;
+    ControlFixture fixture;
     BrokenCall call;
     call.digest = hash128("guilty");
     call.pool = "engines";
     call.endpoint = "e1";
-    call.sentAt = bench.clock.now();
-    bench.clock.advance(milliseconds(70));
-    call.brokeAt = bench.clock.now();
-    bench.machine.handle(call);
-    bench.clock.advance(milliseconds(2));
-    const std::vector<PeerSend> reports = bench.reportsOfEnd();
+    call.sentAt = fixture.clock.now();
+    fixture.clock.advance(milliseconds(70));
+    call.brokeAt = fixture.clock.now();
+    fixture.machine.handle(call);
+    fixture.clock.advance(milliseconds(2));
+    const std::vector<PeerSend> reports = fixture.crashReportsAfterProbe();
     CHECK(!reports.empty());
     CHECK(reports.size() <= 2);
     const auto &content = std::get<CrashReports>(reports.at(0).message.content);
@@ -179,9 +180,9 @@
     CHECK(content.reports.at(0).brokeAgo == milliseconds(2));
 }
 
-TEST(Quarantine, ACallOfPiecesAccusesEachRequestInItOnceAndTellsWhereItIs)
+TEST(Quarantine, ReportsEachRequestOfAPieceCallOnceAndToItsHost)
 {
-    ControlBench bench;
+    ControlFixture fixture;
     PieceCall call;
     call.endpoint = "e1";
     call.stats.pool = "engines";
@@ -191,37 +192,37 @@
         order.digest = hash128(i < 2 ? "of h3" : "own");
         call.orders.push_back(order);
     }
-    bench.machine.handleBrokenPieceCall(call, bench.clock.now());
-    std::size_t ofHost3 = 0;
-    bool isTold = false;
-    for (const PeerSend &send : bench.reportsOfEnd()) {
+    fixture.machine.handleBrokenPieceCall(call, fixture.clock.now());
+    std::size_t reportsOfHost3 = 0;
+    bool isReported = false;
+    for (const PeerSend &send : fixture.crashReportsAfterProbe()) {
         const auto &content = std::get<CrashReports>(send.message.content);
         for (const CrashReport &report : content.reports) {
-            ofHost3 += report.digest == hash128("of h3") ? 1 : 0;
-            isTold = isTold || send.host == "h3";
+            reportsOfHost3 += report.digest == hash128("of h3") ? 1 : 0;
+            isReported = isReported || send.host == "h3";
         }
     }
-    CHECK_TRUE(isTold);
-    CHECK(ofHost3 >= 1);
-    CHECK(ofHost3 <= 3);
+    CHECK_TRUE(isReported);
+    CHECK(reportsOfHost3 >= 1);
+    CHECK(reportsOfHost3 <= 3);
 }
 
-TEST(Quarantine, TheThirdReportPutsARequestUnderQuarantineAtOnce)
+TEST(Quarantine, QuarantinesARequestAtTheThirdReport)
 {
-    ControlBench bench;
+    ControlFixture fixture;
     for (int i = 0; i < 3; ++i) {
-        bench.clock.advance(milliseconds(400));
+        fixture.clock.advance(milliseconds(400));
         CrashReports message;
         message.reports.push_back({hash128("guilty"), "engines", "e" + std::to_string(i + 1),
                                    milliseconds(100), milliseconds(3)});
-        bench.machine.handle(PeerMessage{"h3", 3, message});
-        bench.machine.tick();
-        const ControlOutput output = bench.machine.drainOutput();
+        fixture.machine.handle(PeerMessage{"h3", 3, message});
+        fixture.machine.tick();
+        const ControlOutput output = fixture.machine.drainOutput();
         LONGS_EQUAL(i == 2 ? 1 : 0, output.quarantines.size());
         LONGS_EQUAL(i == 2, output.configChanged);
     }
-    // In force here though the platform has not answered.
-    const auto snapshot = buildSnapshot(bench.machine.resources(), 1, "dc1", nullptr);
-    CHECK(snapshot->quarantineLeft(hash128("guilty"), bench.clock.wallNow())
+    // In force on this host although the platform has not answered.
+    const auto snapshot = buildSnapshot(fixture.machine.resources(), 1, "dc1", nullptr);
+    CHECK(snapshot->quarantineLeft(hash128("guilty"), fixture.clock.wallNow())
           > milliseconds::zero());
 }
