--- a/include/harelink/Kernel/clienttimeoutmodel.h
+++ b/include/harelink/Kernel/clienttimeoutmodel.h
@@ -35,10 +35,10 @@
     /// Requests that are looked at: a few seconds of one pipeline at one daemon.
     static constexpr std::size_t sampleCount = 32;
 
-    [[nodiscard]] Duration usual() const;
+    [[nodiscard]] Duration typicalTimeout() const;
 
     std::array<Duration, sampleCount> m_samples{};
-    std::size_t m_noted = 0; ///< Requests noted so far.
+    std::size_t m_recorded = 0; ///< Requests noted so far.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/requestadmissionimpl.h
+++ b/include/harelink/Kernel/requestadmissionimpl.h
@@ -123,7 +123,7 @@
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::retryAfter(const Request &request, const Snapshot &snapshot)
 {
-    Duration wait = requestmachine::leastRetryAfter;
+    Duration wait = requestmachine::minRetryAfter;
     for (const StageSpec &stage : request.pipeline.stages) {
         wait = std::max(wait, queueWait(request, stage, snapshot));
         const PoolEntry *pool = snapshot.pool(stage.pool);
@@ -133,13 +133,13 @@
         if (const auto opens =
                 unavailableUntil(*pool, regionsOf(request, snapshot), m_clock.now())) {
             wait = std::max(wait, std::min<Duration>(*opens - m_clock.now(),
-                                                     requestmachine::mostClosedRetryAfter));
+                                                     requestmachine::maxRateLimitedRetryAfter));
         }
     }
     if (request.proxied && request.predicted > Duration::zero()) {
         // By then its pools will have worked off what makes it late now.
         const Duration late = forecast(request, snapshot) - request.pipeline.route->objective;
-        wait = std::max(wait, std::min<Duration>(late, requestmachine::mostRetryAfter));
+        wait = std::max(wait, std::min<Duration>(late, requestmachine::maxRetryAfter));
     }
     return wait;
 }
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -34,7 +34,7 @@
 
 /// Takes an answer that is not the request's own for a failure of its call.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::refuseAnswer(const Request &request, std::string_view message,
+void BasicRequestMachine<G>::rejectAnswer(const Request &request, std::string_view message,
                                           const Snapshot &snapshot)
 {
     ++m_counters.mismatchedAnswers;
@@ -49,18 +49,18 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handle(const StageChunk &event, const Snapshot &snapshot)
 {
-    noticePause();
+    detectSuspension();
     Request *request = findCurrent(event.call);
     if (request == nullptr) {
         return;
     }
     if (G::matchesAttempts && event.echoed != event.call) {
-        refuseAnswer(*request, "the stream carries another call's identity", snapshot);
+        rejectAnswer(*request, "the stream carries another call's identity", snapshot);
         return;
     }
     // A token is passed on once, and none before those that stand in front of it.
     if (G::matchesAttempts && event.firstToken != request->tokens) {
-        refuseAnswer(*request, "the stream repeats or leaves out a token", snapshot);
+        rejectAnswer(*request, "the stream repeats or leaves out a token", snapshot);
         return;
     }
     if (const EndpointEntry *endpoint = endpointOf(*request, snapshot)) {
@@ -77,20 +77,20 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handle(StageAnswered event, const Snapshot &snapshot)
 {
-    noticePause();
+    detectSuspension();
     Request *request = findCurrent(event.call);
     if (request == nullptr) {
         return;
     }
     if (G::matchesAttempts && event.echoed != event.call) {
-        refuseAnswer(*request, "the answer carries another call's identity", snapshot);
+        rejectAnswer(*request, "the answer carries another call's identity", snapshot);
         return;
     }
     const Duration elapsed = m_clock.now() - request->sentAt;
     const std::string poolName = request->stageSpec().pool;
     recordNotice(*request, event.notice, snapshot);
     settleCall(*request, snapshot);
-    learnLatency(*request, elapsed);
+    recordLatency(*request, elapsed);
     if (const PoolEntry *pool = snapshot.pool(poolName)) {
         const Duration busy = event.busy == Duration{} ? elapsed : event.busy;
         StageCost &cost = request->costs[request->stage];
@@ -121,7 +121,7 @@
                                      const Snapshot &snapshot)
 {
     request.previous = std::move(stageAnswer);
-    request.sentUnsettled = false;
+    request.stageMayHaveRun = false;
     request.phase = Request::Phase::Queued;
     request.endpoint.clear();
     ++request.stage;
@@ -152,7 +152,7 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handle(const StageFailed &event, const Snapshot &snapshot)
 {
-    noticePause();
+    detectSuspension();
     Request *request = findCurrent(event.call);
     if (request == nullptr) {
         return;
@@ -168,14 +168,14 @@
         }
     }
     if (event.isBroken) {
-        noteBroken(*request);
+        reportBrokenCall(*request);
     }
     if (event.evidence == SendEvidence::Sent) {
-        request->sentUnsettled = true;
-        ++request->mayHaveRun;
+        request->stageMayHaveRun = true;
+        ++request->possibleRuns;
     }
     if (event.evidence != SendEvidence::NothingSent) {
-        ++request->arrivals;
+        ++request->deliveredSends;
     }
     if (event.evidence == SendEvidence::RefusedBeforeRun) {
         ++request->refusals;
@@ -184,7 +184,7 @@
         m_actions.emplace_back(EndpointReplaced{request->endpoint});
     }
     if (event.inputsGone && request->pieces) {
-        piecesLost(*request, snapshot);
+        handleLostResults(*request, snapshot);
         dispatch(poolName, snapshot);
         return;
     }
@@ -196,7 +196,7 @@
 void BasicRequestMachine<G>::handle(const RequestSuspected &event, const Snapshot &snapshot)
 {
     (void)snapshot;
-    if (m_suspects.size() >= requestmachine::mostSuspects) {
+    if (m_suspects.size() >= requestmachine::maxSuspects) {
         m_suspects.clear();
     }
     m_suspects.insert(event.digest);
@@ -225,7 +225,7 @@
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::noteBroken(const Request &request)
+void BasicRequestMachine<G>::reportBrokenCall(const Request &request)
 {
     ++m_counters.brokenCalls;
     CallBroken action;
@@ -270,16 +270,16 @@
 void BasicRequestMachine<G>::retryOrFail(Request &request, const StageFailed &event,
                                          const Snapshot &snapshot)
 {
-    if (hasTurn(request, snapshot, 0) && mayRetry(request, event.evidence)) {
+    if (hasSendSlot(request, snapshot, 0) && mayRetry(request, event.evidence)) {
         ++m_counters.retries;
         if (request.pieces && request.pieces->finalResultsReleased()) {
-            piecesLost(request, snapshot);
+            handleLostResults(request, snapshot);
             return;
         }
         enqueue(request, snapshot);
         return;
     }
-    if (event.proxied && !request.headPassedOn) {
+    if (event.proxied && !request.headForwarded) {
         // The endpoint's own failure says more to its caller than one of ours.
         AnswerCaller action;
         action.outcome = outcomeOfFailure(request);
@@ -302,7 +302,7 @@
     if (mayHaveRun && !request.pipeline.repeatable && G::retriesOnlyRepeatable) {
         return false;
     }
-    if (request.attempt - request.refusals >= requestmachine::mostAttempts) {
+    if (request.attempt - request.refusals >= requestmachine::maxAttempts) {
         return false;
     }
     if (!fitsDeadline(request, remainingTime(request))) {
@@ -325,7 +325,7 @@
     if (!G::notRunNeedsEvidence) {
         return Outcome::NotRun;
     }
-    if (request.sentUnsettled || request.phase == Request::Phase::Running) {
+    if (request.stageMayHaveRun || request.phase == Request::Phase::Running) {
         return Outcome::Unknown;
     }
     return request.stage > 0 ? Outcome::RanIncomplete : Outcome::NotRun;
@@ -347,7 +347,7 @@
 void BasicRequestMachine<G>::answer(Request &request, AnswerCaller &&action)
 {
     dropPieces(request);
-    m_lateRequests -= request.isLate ? 1 : 0;
+    m_lateAdmissions -= request.isAdmittedLate ? 1 : 0;
     if (action.outcome == Outcome::Completed && !action.replayed
         && m_suspects.erase(request.digest) > 0) {
         m_actions.emplace_back(RequestCleared{request.digest});
@@ -365,7 +365,7 @@
     action.endpoint = request.endpoint;
     action.sends = request.attempt;
     action.predicted = request.predicted;
-    action.admittedLate = request.isLate;
+    action.admittedLate = request.isAdmittedLate;
     action.prepared = request.prepared;
     countDemand(request, static_cast<std::uint32_t>(request.pipeline.stages.size()));
     ++m_counters.reasons[static_cast<std::size_t>(action.reason)];
@@ -379,39 +379,40 @@
 
 /// Notices that the process itself stood still: what seems slow was not.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::noticePause()
+void BasicRequestMachine<G>::detectSuspension()
 {
     const TimePoint now = m_clock.now();
-    if (now - m_lastTurn > requestmachine::longestTurnGap) {
+    if (now - m_lastEventAt > requestmachine::maxEventGap) {
         m_resumedAt = now;
         for (auto &[name, pool] : m_pools) {
             pool->pace.recordUnavailable();
         }
     }
-    m_lastTurn = now;
+    m_lastEventAt = now;
 }
 
 /// Learns from a call, unless this process slept while it was in progress.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::learnLatency(const Request &request, Duration elapsed)
+void BasicRequestMachine<G>::recordLatency(const Request &request, Duration elapsed)
 {
     if (request.sentAt >= m_resumedAt) {
         poolState(request.stageSpec().pool).latency.add(m_clock.now(), request.bytes(), elapsed);
     }
 }
 
-/// Learns from a call that is given up on, as learnLatency() does.
+/// Learns from a call that is given up on, as recordLatency() does.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::learnFromGivenUp(const Request &request, const Snapshot &snapshot)
+void BasicRequestMachine<G>::recordTimedOutCall(const Request &request, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     const PoolEntry *pool = snapshot.pool(request.stageSpec().pool);
     const EndpointEntry *endpoint = pool == nullptr ? nullptr : pool->find(request.endpoint);
     if (endpoint != nullptr && request.sentAt >= m_resumedAt) {
-        const Duration usual = poolState(pool->spec.name).latency.median(now, request.bytes());
-        recordAbandonedCall(*pool, *endpoint, now - request.sentAt, usual, now);
+        const Duration typicalTime =
+            poolState(pool->spec.name).latency.median(now, request.bytes());
+        recordAbandonedCall(*pool, *endpoint, now - request.sentAt, typicalTime, now);
     }
-    learnLatency(request, now - request.sentAt);
+    recordLatency(request, now - request.sentAt);
 }
 
 } // namespace harelink
--- a/include/harelink/Kernel/requestclaimsimpl.h
+++ b/include/harelink/Kernel/requestclaimsimpl.h
@@ -39,7 +39,7 @@
     if (request == nullptr || request->phase != Request::Phase::Claiming) {
         // Only a request that was given up while it waited gives a grant back.
         // One that ran may see a copy of its grant, and must not release it.
-        const bool givenUp = m_givenUpClaims.contains(event.claimant.sequence);
+        const bool givenUp = m_unawaitedClaims.contains(event.claimant.sequence);
         if (event.verdict == ClaimVerdict::Granted && request == nullptr && givenUp) {
             ++m_counters.lateGrants;
             m_actions.emplace_back(
@@ -78,7 +78,7 @@
     }
     case ClaimVerdict::Unavailable:
         // Nothing was written, but a copy of the claim may still be on its way.
-        rememberGivenUp(*request);
+        recordUnawaitedClaim(*request);
         if (event.inDoubt) {
             finishClaim(*request, Outcome::NotRun, {});
         }
@@ -92,11 +92,11 @@
 
 /// A grant may still come for a request that is answered while it waits for one.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::rememberGivenUp(const Request &request)
+void BasicRequestMachine<G>::recordUnawaitedClaim(const Request &request)
 {
     if (request.phase == Request::Phase::Claiming
-        && m_givenUpClaims.insert(request.id.sequence).second) {
-        m_givenUpOrder.emplace_back(m_clock.now(), request.id.sequence);
+        && m_unawaitedClaims.insert(request.id.sequence).second) {
+        m_unawaitedClaimOrder.emplace_back(m_clock.now(), request.id.sequence);
     }
 }
 
@@ -109,7 +109,7 @@
     if (request.pipeline.repeatable || !mayHoldClaim) {
         return;
     }
-    rememberGivenUp(request);
+    recordUnawaitedClaim(request);
     ClaimFinish finish;
     finish.claimant = request.id;
     finish.key = request.key;
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -21,12 +21,12 @@
 namespace harelink {
 
 template <GuardPolicy G>
-FairQueue::Waiter BasicRequestMachine<G>::placeOf(const Request &request)
+FairQueue::Waiter BasicRequestMachine<G>::queueKey(const Request &request)
 {
     if (!G::ordersByUsage) {
         return {{}, request.arrivedAt, request.id.sequence};
     }
-    const TimePoint due = request.proxied ? request.wanted : request.deadline;
+    const TimePoint due = request.proxied ? request.objectiveAt : request.deadline;
     return {request.account, due, request.id.sequence};
 }
 
@@ -40,7 +40,7 @@
     if (state.queue.size() == 0) {
         state.pace.recordWaiting(m_clock.now());
     }
-    state.queue.push(placeOf(request));
+    state.queue.push(queueKey(request));
     if (const std::shared_ptr<AccountLoad> load = accountLoad(request, snapshot)) {
         request.demand = ScopedCount({load, &load->demand});
     }
@@ -64,7 +64,7 @@
     while (const std::optional<std::uint64_t> sequence =
                state.queue.pop(snapshot, poolName, state.shares, now)) {
         Request &request = *m_requests.at(*sequence);
-        if (refuseQuarantined(request, snapshot)) {
+        if (rejectQuarantined(request, snapshot)) {
             continue;
         }
         const RegionLimit regions = regionsOf(request, snapshot);
@@ -77,20 +77,20 @@
         }
         const EndpointEntry *avoid =
             request.endpoint.empty() ? nullptr : pool->find(request.endpoint);
-        const PromptInfo prompt = promptOf(request);
+        const PromptInfo prompt = promptInfo(request);
         const PromptInfo *need = pool->spec.engine && prompt.tokens > 0 ? &prompt : nullptr;
-        const EndpointEntry *endpoint =
-            chooseEndpoint({*pool, now, homeOf(request, *pool), avoid, need, &regions}, snapshot);
+        const EndpointEntry *endpoint = chooseEndpoint(
+            {*pool, now, preferredEndpoint(request, *pool), avoid, need, &regions}, snapshot);
         if (endpoint == nullptr && unavailableUntil(*pool, regions, now)) {
-            if (hasTurn(request, snapshot, held.size())) {
-                held.push_back(placeOf(request));
+            if (hasSendSlot(request, snapshot, held.size())) {
+                held.push_back(queueKey(request));
             } else {
-                failWithoutTurn(request, poolName, snapshot);
+                failWithoutSendSlot(request, poolName, snapshot);
             }
             continue;
         }
         if (endpoint == nullptr) {
-            state.queue.push(placeOf(request));
+            state.queue.push(queueKey(request));
             break;
         }
         // A probe says nothing of how fast the queue moves.
@@ -103,14 +103,14 @@
         state.queue.push(place);
     }
     if (pool != nullptr && state.queue.size() > 0) {
-        recordStandstill(state, *pool);
+        recordStall(state, *pool);
     }
 }
 
 /// Tells the pace of a queue in which requests wait whether they wait for room or for an
 /// endpoint that may be sent to at all.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::recordStandstill(PoolState &state, const PoolEntry &pool)
+void BasicRequestMachine<G>::recordStall(PoolState &state, const PoolEntry &pool)
 {
     const TimePoint now = m_clock.now();
     if (state.shares.usableSlots() == 0) {
@@ -158,11 +158,11 @@
     RoutingQuery unchecked = query;
     unchecked.requiresWarm = false;
     const EndpointEntry *endpoint = query.preferred;
-    const bool asksHome = endpoint != nullptr && isEligible(*endpoint, unchecked);
-    if (asksHome && isEligible(*endpoint, query)) {
+    const bool prefersUnchecked = endpoint != nullptr && isEligible(*endpoint, unchecked);
+    if (prefersUnchecked && isEligible(*endpoint, query)) {
         return false;
     }
-    if (!asksHome) {
+    if (!prefersUnchecked) {
         if (m_policy->choose(query, m_random) != nullptr) {
             return false;
         }
@@ -173,7 +173,7 @@
     }
     PoolState &state = poolState(query.pool.spec.name);
     if (query.now >= state.nextColdCheck && claimColdCheck(*endpoint, query.now)) {
-        state.nextColdCheck = query.now + requestmachine::coldCheckSpacing;
+        state.nextColdCheck = query.now + requestmachine::minColdCheckInterval;
         m_actions.emplace_back(CheckColdState{endpoint->spec.name, endpoint->spec.address,
                                               query.pool.spec.statusPath});
     }
@@ -186,14 +186,14 @@
 TimePoint BasicRequestMachine<G>::latestStart(const Request &request)
 {
     const TimePoint latest = request.deadline - remainingTime(request);
-    return request.proxied ? std::min(latest, request.wanted) : latest;
+    return request.proxied ? std::min(latest, request.objectiveAt) : latest;
 }
 
 /// Whether the pool of \p request accepts it in time, behind \p ahead others that wait for
 /// rate limits there.
 template <GuardPolicy G>
-bool BasicRequestMachine<G>::hasTurn(const Request &request, const Snapshot &snapshot,
-                                     std::size_t ahead)
+bool BasicRequestMachine<G>::hasSendSlot(const Request &request, const Snapshot &snapshot,
+                                         std::size_t ahead)
 {
     const PoolEntry *pool = snapshot.pool(request.stageSpec().pool);
     const TimePoint now = m_clock.now();
@@ -204,8 +204,8 @@
 
 /// The first stage of a new request whose pool will not accept it in time; null for none.
 template <GuardPolicy G>
-const StageSpec *BasicRequestMachine<G>::stageWithoutTurn(const Request &request,
-                                                          const Snapshot &snapshot)
+const StageSpec *BasicRequestMachine<G>::stageWithoutSendSlot(const Request &request,
+                                                              const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     const RegionLimit regions = regionsOf(request, snapshot);
@@ -222,8 +222,8 @@
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::failWithoutTurn(Request &request, const std::string &pool,
-                                             const Snapshot &snapshot)
+void BasicRequestMachine<G>::failWithoutSendSlot(Request &request, const std::string &pool,
+                                                 const Snapshot &snapshot)
 {
     fail(request, Reason::NoEndpoint,
          makeError(absl::StatusCode::kResourceExhausted, "routing", pool,
@@ -245,7 +245,7 @@
 /// endpoints end. Asked before each send and not only at admission: daemons hold copies of
 /// such a request in queues, before their pieces are made, and for a retry.
 template <GuardPolicy G>
-bool BasicRequestMachine<G>::refuseQuarantined(Request &request, const Snapshot &snapshot)
+bool BasicRequestMachine<G>::rejectQuarantined(Request &request, const Snapshot &snapshot)
 {
     const Duration left = quarantineLeft(request.digest, snapshot);
     if (left == Duration::zero()) {
@@ -272,7 +272,8 @@
 
 /// The endpoint that is likely to have the request's prompt still at hand.
 template <GuardPolicy G>
-const EndpointEntry *BasicRequestMachine<G>::homeOf(const Request &request, const PoolEntry &pool)
+const EndpointEntry *BasicRequestMachine<G>::preferredEndpoint(const Request &request,
+                                                               const PoolEntry &pool)
 {
     if (!pool.spec.keepsPrompts) {
         return nullptr;
@@ -281,9 +282,10 @@
         // The last part is the request's own; the one before it is the longest beginning
         // that others have too.
         const std::vector<PromptPart> &parts = request.proxied->prompt;
-        const bool hasHome =
-            parts.size() >= 2 && request.proxied->sharedTokens() >= requestmachine::leastHomeTokens;
-        if (!hasHome) {
+        const bool hasAffinity =
+            parts.size() >= 2
+            && request.proxied->sharedTokens() >= requestmachine::minAffinityTokens;
+        if (!hasAffinity) {
             return nullptr;
         }
         return pool.preferredEndpoint(hash64(parts[parts.size() - 2].id));
@@ -309,18 +311,18 @@
     if (request.costs.size() <= request.stage) {
         request.costs.push_back({request.stageSpec().name, pool.spec.name, {}, {}, 0, 0});
         m_retryTokens = std::min(m_retryTokens + requestmachine::retryTokensPerSend,
-                                 requestmachine::mostRetryTokens);
+                                 requestmachine::maxRetryTokens);
     }
     ++request.costs[request.stage].sends;
     ++m_counters.sends;
     recordSend(endpoint, now);
-    bookPrompt(request, pool, endpoint);
+    reservePromptTokens(request, pool, endpoint);
     if (const std::shared_ptr<AccountLoad> load = accountLoad(request, snapshot)) {
         request.inFlight = ScopedCount({load, &load->inFlight});
     }
     const Duration typical =
         poolState(pool.spec.name).latency.median(m_clock.now(), request.bytes());
-    request.charged = std::max<Duration>(typical, requestmachine::unknownCharge);
+    request.charged = std::max<Duration>(typical, requestmachine::defaultCharge);
     charge(request, request.charged, snapshot);
 
     SendStage action;
@@ -346,13 +348,13 @@
     if (request.pieces) {
         action.inputs = request.pieces->finalResults();
     }
-    if (request.headPassedOn) {
-        action.resumeAfter = request.lastEvent;
+    if (request.headForwarded) {
+        action.resumeAfter = request.lastEventId;
     }
-    if (request.proxied && request.arrivals > 0) {
-        budgetOf(pool.spec.name).recordRetry(now);
+    if (request.proxied && request.deliveredSends > 0) {
+        retryBudget(pool.spec.name).recordRetry(now);
     }
-    m_counters.resumedStreams += request.tokens > 0 || request.headPassedOn ? 1 : 0;
+    m_counters.resumedStreams += request.tokens > 0 || request.headForwarded ? 1 : 0;
     m_actions.emplace_back(std::move(action));
 }
 
@@ -389,7 +391,7 @@
     cost.elapsed += now - request.sentAt;
     request.demand = {};
     request.inFlight = {};
-    unbookPrompt(request, snapshot);
+    releasePromptTokens(request, snapshot);
     if (const EndpointEntry *endpoint = endpointOf(request, snapshot)) {
         const int before = endpoint->load->inFlight.fetch_sub(1, std::memory_order_relaxed);
         // An endpoint declared anew under the same name starts from zero.
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -310,54 +310,56 @@
 
     Request *find(const RequestId &id);
     PoolState &poolState(const std::string &pool);
-    std::optional<AnswerCaller> refuseAtOnce(const RequestArrived &event, const Hash128 &digest,
-                                             const Snapshot &snapshot) const;
+    std::optional<AnswerCaller> rejectOnArrival(const RequestArrived &event, const Hash128 &digest,
+                                                const Snapshot &snapshot) const;
     [[nodiscard]] Duration quarantineLeft(const Hash128 &digest, const Snapshot &snapshot) const;
     static RegionLimit regionsOf(const Request &request, const Snapshot &snapshot);
-    bool refuseQuarantined(Request &request, const Snapshot &snapshot);
+    bool rejectQuarantined(Request &request, const Snapshot &snapshot);
     void claim(Request &request);
     static void resolveRoute(RequestArrived &event, const Snapshot &snapshot);
-    void takeRoute(Request &request, const Snapshot &snapshot);
+    void applyRoute(Request &request, const Snapshot &snapshot);
     bool beginPieces(Request &request, const Snapshot &snapshot);
     void orderPieces(Request &request, const Snapshot &snapshot);
-    [[nodiscard]] std::string resultsWantedAt(const Request &request,
-                                              const Snapshot &snapshot) const;
+    [[nodiscard]] std::string preferredResultDataCentre(const Request &request,
+                                                        const Snapshot &snapshot) const;
     Duration forecast(const Request &request, const Snapshot &snapshot);
     std::vector<Duration> stageTimes(const Request &request, const Snapshot &snapshot) const;
     Duration forecastPieces(const Request &request, const Snapshot &snapshot) const;
     Duration forecastFirstEvent(const Request &request, const Snapshot &snapshot);
-    bool mayTakeLate(const Request &request, const Snapshot &snapshot);
+    bool mayAdmitLate(const Request &request, const Snapshot &snapshot);
     bool admit(Request &request, const Snapshot &snapshot);
-    void learnForecast(const Request &request);
-    void bookPrompt(Request &request, const PoolEntry &pool, const EndpointEntry &endpoint);
-    void unbookPrompt(Request &request, const Snapshot &snapshot);
+    void recordForecastError(const Request &request);
+    void reservePromptTokens(Request &request, const PoolEntry &pool,
+                             const EndpointEntry &endpoint);
+    void releasePromptTokens(Request &request, const Snapshot &snapshot);
     static std::string dataCentreOf(const std::string &endpoint, const Snapshot &snapshot);
-    PromptInfo promptOf(const Request &request);
+    PromptInfo promptInfo(const Request &request);
     void dropPieces(Request &request);
     void releaseResults(Request &request);
-    void piecesLost(Request &request, const Snapshot &snapshot);
+    void handleLostResults(Request &request, const Snapshot &snapshot);
     bool mayRetryProxied(const Request &request, SendEvidence evidence);
-    RetryBudget &budgetOf(const std::string &pool);
+    RetryBudget &retryBudget(const std::string &pool);
     [[nodiscard]] int daemons() const;
     bool fitsDeadline(const Request &request, Duration needed);
-    static FairQueue::Waiter placeOf(const Request &request);
+    static FairQueue::Waiter queueKey(const Request &request);
     void enqueue(Request &request, const Snapshot &snapshot);
     void dispatch(const std::string &pool, const Snapshot &snapshot);
     static const EndpointEntry *endpointOf(const Request &request, const Snapshot &snapshot);
-    static const EndpointEntry *homeOf(const Request &request, const PoolEntry &pool);
+    static const EndpointEntry *preferredEndpoint(const Request &request, const PoolEntry &pool);
     void send(Request &request, const PoolEntry &pool, const EndpointEntry &endpoint,
               const Snapshot &snapshot);
     static std::shared_ptr<AccountLoad> accountLoad(const Request &request,
                                                     const Snapshot &snapshot);
     void charge(const Request &request, Duration amount, const Snapshot &snapshot);
-    void noteBroken(const Request &request);
+    void reportBrokenCall(const Request &request);
     [[nodiscard]] const EndpointEntry *chooseEndpoint(RoutingQuery query, const Snapshot &snapshot);
     [[nodiscard]] bool awaitsColdCheck(const RoutingQuery &query);
     [[nodiscard]] TimePoint latestStart(const Request &request);
-    [[nodiscard]] bool hasTurn(const Request &request, const Snapshot &snapshot, std::size_t ahead);
-    [[nodiscard]] const StageSpec *stageWithoutTurn(const Request &request,
-                                                    const Snapshot &snapshot);
-    void failWithoutTurn(Request &request, const std::string &pool, const Snapshot &snapshot);
+    [[nodiscard]] bool hasSendSlot(const Request &request, const Snapshot &snapshot,
+                                   std::size_t ahead);
+    [[nodiscard]] const StageSpec *stageWithoutSendSlot(const Request &request,
+                                                        const Snapshot &snapshot);
+    void failWithoutSendSlot(Request &request, const std::string &pool, const Snapshot &snapshot);
     void recordNotice(const Request &request, const std::optional<EndpointNotice> &notice,
                       const Snapshot &snapshot);
     void advance(Request &request, std::string &&stageAnswer, const Snapshot &snapshot);
@@ -365,11 +367,11 @@
     void retryOrFail(Request &request, const StageFailed &event, const Snapshot &snapshot);
     bool mayRetry(const Request &request, SendEvidence evidence);
     void fail(Request &request, Reason reason, absl::Status error, const Snapshot &snapshot);
-    void rememberGivenUp(const Request &request);
+    void recordUnawaitedClaim(const Request &request);
     void finishClaim(const Request &request, Outcome outcome, const std::string &answer);
     void answer(Request &request, AnswerCaller &&action);
     Request *findCurrent(const CallId &call);
-    void refuseAnswer(const Request &request, std::string_view message, const Snapshot &snapshot);
+    void rejectAnswer(const Request &request, std::string_view message, const Snapshot &snapshot);
     void withdraw(Request &request, const Snapshot &snapshot);
     void settleCall(Request &request, const Snapshot &snapshot);
     Outcome outcomeOfFailure(const Request &request) const;
@@ -379,34 +381,34 @@
                                 const Snapshot &snapshot);
     Duration queueWait(const Request &request, const StageSpec &stage, const Snapshot &snapshot);
     std::string describeLateness(const Request &request, Duration needed, const Snapshot &snapshot);
-    void recordStandstill(PoolState &state, const PoolEntry &pool);
+    void recordStall(PoolState &state, const PoolEntry &pool);
     void countDemand(Request &request, std::uint32_t from);
     Duration retryAfter(const Request &request, const Snapshot &snapshot);
     void expire(Request &request, const Snapshot &snapshot);
     void schedule(const Request &request, TimePoint at);
-    void noticePause();
-    void learnFromGivenUp(const Request &request, const Snapshot &snapshot);
-    void learnLatency(const Request &request, Duration elapsed);
+    void detectSuspension();
+    void recordTimedOutCall(const Request &request, const Snapshot &snapshot);
+    void recordLatency(const Request &request, Duration elapsed);
 
     const Clock &m_clock;
     std::unique_ptr<RoutingPolicy> m_policy;
     Random m_random;
     RequestLimits m_limits;
     bool m_draining = false;
-    TimePoint m_lastTurn;  ///< Of the last tick, answer or failure.
-    TimePoint m_resumedAt; ///< When this process last woke from a long pause.
+    TimePoint m_lastEventAt; ///< Of the last tick, answer or failure.
+    TimePoint m_resumedAt;   ///< When this process last woke from a long pause.
     double m_retryTokens;
-    std::map<std::string, RetryBudget> m_budgets;         ///< By pool.
-    std::map<std::string, ClientTimeoutModel> m_patience; ///< By pipeline.
+    std::map<std::string, RetryBudget> m_budgets;               ///< By pool.
+    std::map<std::string, ClientTimeoutModel> m_clientTimeouts; ///< By pipeline.
     std::map<std::string, double> m_forecastBias; ///< By pipeline: real against predicted time.
-    std::size_t m_lateRequests = 0;               ///< In progress that were taken in to be late.
+    std::size_t m_lateAdmissions = 0;             ///< In progress that were taken in to be late.
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<Request>> m_requests;
     // Ordered, so that the same events always give the same actions.
     std::map<std::string, std::unique_ptr<PoolState>> m_pools;
     using Timer = std::pair<TimePoint, std::uint64_t>;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
-    absl::flat_hash_set<std::uint64_t> m_givenUpClaims; // Answered while they waited.
-    std::deque<std::pair<TimePoint, std::uint64_t>> m_givenUpOrder;
+    absl::flat_hash_set<std::uint64_t> m_unawaitedClaims; // Answered while they waited.
+    std::deque<std::pair<TimePoint, std::uint64_t>> m_unawaitedClaimOrder;
     absl::flat_hash_set<Hash128> m_suspects; ///< Requests whose good ends are to be told.
     std::vector<RequestAction> m_actions;
     RequestCounters m_counters;
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -35,9 +35,9 @@
     , m_policy(std::move(policy))
     , m_random(seed)
     , m_limits(limits)
-    , m_lastTurn(clock.now())
+    , m_lastEventAt(clock.now())
     , m_resumedAt(clock.now())
-    , m_retryTokens(requestmachine::mostRetryTokens)
+    , m_retryTokens(requestmachine::maxRetryTokens)
 {
     assert(m_policy != nullptr && "a machine needs a routing policy");
 }
@@ -103,9 +103,9 @@
 // Arrival ---------------------------------------------------------------------
 
 template <GuardPolicy G>
-std::optional<AnswerCaller> BasicRequestMachine<G>::refuseAtOnce(const RequestArrived &event,
-                                                                 const Hash128 &digest,
-                                                                 const Snapshot &snapshot) const
+std::optional<AnswerCaller> BasicRequestMachine<G>::rejectOnArrival(const RequestArrived &event,
+                                                                    const Hash128 &digest,
+                                                                    const Snapshot &snapshot) const
 {
     const auto refusal = [&](Reason reason, absl::StatusCode code, std::string_view step,
                              const std::string &peer, std::string_view message) {
@@ -113,7 +113,7 @@
         answer.id = event.id;
         answer.digest = digest;
         answer.outcome = Outcome::NotRun;
-        answer.retryAfter = requestmachine::leastRetryAfter;
+        answer.retryAfter = requestmachine::minRetryAfter;
         answer.reason = reason;
         answer.error = makeError(code, step, peer, message);
         return answer;
@@ -146,7 +146,7 @@
                        "this pipeline may not be repeated and needs an idempotency key");
     }
     // Before all that costs anything; a copy that is in progress is refused before its next
-    // send, as refuseQuarantined() says.
+    // send, as rejectQuarantined() says.
     if (const Duration left = quarantineLeft(digest, snapshot); left > Duration::zero()) {
         AnswerCaller answer = refusal(Reason::Quarantined, absl::StatusCode::kFailedPrecondition,
                                       "admission", "", requestmachine::quarantineMessage);
@@ -175,7 +175,7 @@
 {
     resolveRoute(event, snapshot);
     const Hash128 digest = digestOf(event, event.account);
-    if (std::optional<AnswerCaller> refusal = refuseAtOnce(event, digest, snapshot)) {
+    if (std::optional<AnswerCaller> refusal = rejectOnArrival(event, digest, snapshot)) {
         refusal->account = event.account;
         refusal->pipeline = event.pipeline;
         refusal->callerId = event.proxied ? event.proxied->callerId : std::string();
@@ -198,15 +198,15 @@
     request.deadline = now + event.timeAllowed.value_or(request.pipeline.deadline);
     request.proxied = std::move(event.proxied);
     if (request.proxied) {
-        takeRoute(request, snapshot);
+        applyRoute(request, snapshot);
     }
     const bool added = m_requests.emplace(event.id.sequence, std::move(owned)).second;
     assert(added && "a request arrives once");
     (void)added;
 
     request.demandFrom = static_cast<std::uint32_t>(request.pipeline.stages.size());
-    if (const StageSpec *stage = stageWithoutTurn(request, snapshot)) {
-        failWithoutTurn(request, stage->pool, snapshot);
+    if (const StageSpec *stage = stageWithoutSendSlot(request, snapshot)) {
+        failWithoutSendSlot(request, stage->pool, snapshot);
         return;
     }
     if (request.proxied && !admit(request, snapshot)) {
@@ -214,7 +214,7 @@
              makeError(absl::StatusCode::kDeadlineExceeded, "admission", "",
                        fmt::format("predicted to take {:.0f} ms, wanted in {:.0f} ms",
                                    toMilliseconds(request.predicted),
-                                   toMilliseconds(request.wanted - now))),
+                                   toMilliseconds(request.objectiveAt - now))),
              snapshot);
         return;
     }
@@ -246,7 +246,7 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::tick(const Snapshot &snapshot)
 {
-    noticePause();
+    detectSuspension();
     const TimePoint now = m_clock.now();
     while (!m_timers.empty() && m_timers.top().first <= now) {
         const std::uint64_t sequence = m_timers.top().second;
@@ -256,10 +256,10 @@
             expire(*found->second, snapshot);
         }
     }
-    while (!m_givenUpOrder.empty()
-           && m_givenUpOrder.front().first + requestmachine::lateGrantMemory < now) {
-        m_givenUpClaims.erase(m_givenUpOrder.front().second);
-        m_givenUpOrder.pop_front();
+    while (!m_unawaitedClaimOrder.empty()
+           && m_unawaitedClaimOrder.front().first + requestmachine::lateGrantRetention < now) {
+        m_unawaitedClaims.erase(m_unawaitedClaimOrder.front().second);
+        m_unawaitedClaimOrder.pop_front();
     }
     for (const auto &[name, pool] : m_pools) {
         if (pool->queue.size() > 0) {
@@ -272,7 +272,8 @@
 void BasicRequestMachine<G>::expire(Request &request, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    const bool unprepared = request.phase == Request::Phase::Preparing && now >= request.preparedBy;
+    const bool unprepared =
+        request.phase == Request::Phase::Preparing && now >= request.preparationDeadline;
     if (unprepared) {
         fail(request, Reason::CannotFinish,
              makeError(absl::StatusCode::kDeadlineExceeded, "pieces", "",
@@ -301,7 +302,7 @@
     }
     if (request.phase == Request::Phase::Running) {
         // It says the endpoint is slow, and the slowness is what must be learnt.
-        learnFromGivenUp(request, snapshot);
+        recordTimedOutCall(request, snapshot);
     }
     withdraw(request, snapshot);
     const std::string peer = queued ? std::string() : request.endpoint;
@@ -316,7 +317,7 @@
 void BasicRequestMachine<G>::withdraw(Request &request, const Snapshot &snapshot)
 {
     if (request.phase == Request::Phase::Queued) {
-        poolState(request.stageSpec().pool).queue.remove(placeOf(request));
+        poolState(request.stageSpec().pool).queue.remove(queueKey(request));
     }
     if (request.phase == Request::Phase::Running) {
         m_actions.emplace_back(CancelStage{request.call()});
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -44,7 +44,7 @@
 
 /// Draws the pool by the weights of the route, and takes over its limits.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::takeRoute(Request &request, const Snapshot &snapshot)
+void BasicRequestMachine<G>::applyRoute(Request &request, const Snapshot &snapshot)
 {
     const RouteSpec &route = *request.pipeline.route;
     const TimePoint now = request.arrivedAt;
@@ -52,40 +52,41 @@
     for (const WeightedPool &share : route.split) {
         weights += share.weight;
     }
-    double drawn = m_random.unit() * weights;
+    double remainingWeight = m_random.unit() * weights;
     std::string pool = route.split.back().pool;
     for (const WeightedPool &share : route.split) {
-        drawn -= share.weight;
-        if (drawn < 0) {
+        remainingWeight -= share.weight;
+        if (remainingWeight < 0) {
             pool = share.pool;
             break;
         }
     }
     request.pipeline.stages = {{"serve", pool}};
-    request.spent = m_patience[request.pipeline.name].record(request.deadline - now);
+    request.timeSpent = m_clientTimeouts[request.pipeline.name].record(request.deadline - now);
     request.deadline = std::min<TimePoint>(request.deadline, now + request.pipeline.deadline);
-    request.wanted = std::min<TimePoint>(request.deadline, now + route.objective - request.spent);
+    request.objectiveAt =
+        std::min<TimePoint>(request.deadline, now + route.objective - request.timeSpent);
     Duration patience = request.deadline - now;
     if (route.patience > Duration::zero()) {
         patience = std::min<Duration>(patience, route.patience);
     }
     const auto preparing = std::min<std::chrono::duration<double>>(
-        patience * requestmachine::preparingPart,
-        route.objective * requestmachine::preparingObjectives);
-    request.preparedBy = now + std::chrono::duration_cast<Duration>(preparing);
+        patience * requestmachine::preparationTimeoutShare,
+        route.objective * requestmachine::maxPreparationObjectives);
+    request.preparationDeadline = now + std::chrono::duration_cast<Duration>(preparing);
     request.streams = route.streams;
-    request.lastEvent = request.proxied->lastEventSeen;
+    request.lastEventId = request.proxied->lastEventSeen;
     const AccountEntry *account = snapshot.account(request.account);
     const bool ofAccount = account != nullptr && account->spec.priority;
     request.priority = ofAccount ? *account->spec.priority : route.priority;
-    budgetOf(pool).recordRequest(now);
+    retryBudget(pool).recordRequest(now);
 }
 
 // Admission -------------------------------------------------------------------
 
 /// What the request's prompt asks of a model engine.
 template <GuardPolicy G>
-PromptInfo BasicRequestMachine<G>::promptOf(const Request &request)
+PromptInfo BasicRequestMachine<G>::promptInfo(const Request &request)
 {
     PromptInfo need;
     if (!request.proxied) {
@@ -97,29 +98,30 @@
     if (request.pieces) {
         std::tie(need.dataCentre, need.inputBytes) = request.pieces->mainResultDataCentre();
     }
-    need.slack = request.wanted - m_clock.now() - requestmachine::firstEventOverhead;
+    need.slack = request.objectiveAt - m_clock.now() - requestmachine::firstEventOverhead;
     return need;
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::bookPrompt(Request &request, const PoolEntry &pool,
-                                        const EndpointEntry &endpoint)
+void BasicRequestMachine<G>::reservePromptTokens(Request &request, const PoolEntry &pool,
+                                                 const EndpointEntry &endpoint)
 {
     if (!pool.spec.engine || !request.proxied) {
         return;
     }
-    const bool isPreferred = homeOf(request, pool) == &endpoint;
-    request.bookedTokens =
-        static_cast<std::int64_t>(uncachedTokens(promptOf(request), isPreferred));
-    request.bookedAhead = static_cast<std::size_t>(std::max<std::int64_t>(
-        0, endpoint.load->prefillBacklog.fetch_add(request.bookedTokens, std::memory_order_relaxed)
-               + endpoint.load->peerPrefillBacklog.load(std::memory_order_relaxed)));
+    const bool isPreferred = preferredEndpoint(request, pool) == &endpoint;
+    request.reservedTokens =
+        static_cast<std::int64_t>(uncachedTokens(promptInfo(request), isPreferred));
+    request.tokensAhead = static_cast<std::size_t>(std::max<std::int64_t>(
+        0,
+        endpoint.load->prefillBacklog.fetch_add(request.reservedTokens, std::memory_order_relaxed)
+            + endpoint.load->peerPrefillBacklog.load(std::memory_order_relaxed)));
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::unbookPrompt(Request &request, const Snapshot &snapshot)
+void BasicRequestMachine<G>::releasePromptTokens(Request &request, const Snapshot &snapshot)
 {
-    const std::int64_t tokens = std::exchange(request.bookedTokens, 0);
+    const std::int64_t tokens = std::exchange(request.reservedTokens, 0);
     if (tokens == 0) {
         return;
     }
@@ -137,7 +139,7 @@
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
     const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
-    const std::string wantedAt = resultsWantedAt(request, snapshot);
+    const std::string wantedAt = preferredResultDataCentre(request, snapshot);
     std::vector<Duration> times(stages.size(), Duration::zero());
     for (std::size_t i = 0; i < stages.size(); ++i) {
         const std::uint32_t count = i < counts.size() ? counts[i] : 0;
@@ -189,8 +191,8 @@
     if (!pool->spec.engine) {
         return poolState(pool->spec.name).latency.median(m_clock.now(), request.bytes());
     }
-    const PromptInfo prompt = promptOf(request);
-    const EndpointEntry *home = homeOf(request, *pool);
+    const PromptInfo prompt = promptInfo(request);
+    const EndpointEntry *home = preferredEndpoint(request, *pool);
     const TimePoint now = m_clock.now();
     const Duration never = Duration::max() / 4;
     Duration best = never;
@@ -200,9 +202,9 @@
         if (!isUsable(endpoint, now) || !regions.allows(endpoint.region)) {
             continue;
         }
-        const bool isColdOne = isCold(endpoint, now);
-        Duration &candidate = isColdOne ? bestCold : best;
-        if (!isColdOne || maySendWhileCold(endpoint, now)) {
+        const bool isEndpointCold = isCold(endpoint, now);
+        Duration &candidate = isEndpointCold ? bestCold : best;
+        if (!isEndpointCold || maySendWhileCold(endpoint, now)) {
             candidate = std::min(candidate, availableAt(endpoint, now) - now
                                                 + prefillTime(endpoint, prompt, &endpoint == home));
         }
@@ -224,7 +226,7 @@
 /// places to spare, and not too many are in already. Where its part of all daemons' is less
 /// than one, it takes one so much less often.
 template <GuardPolicy G>
-bool BasicRequestMachine<G>::mayTakeLate(const Request &request, const Snapshot &snapshot)
+bool BasicRequestMachine<G>::mayAdmitLate(const Request &request, const Snapshot &snapshot)
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
     const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
@@ -234,11 +236,11 @@
             return false;
         }
     }
-    const double part = requestmachine::mostLateRequests / daemons();
+    const double part = requestmachine::maxLateAdmissions / daemons();
     if (part >= 1) {
-        return static_cast<double>(m_lateRequests + 1) <= part;
+        return static_cast<double>(m_lateAdmissions + 1) <= part;
     }
-    return m_lateRequests == 0 && m_random.unit() < part;
+    return m_lateAdmissions == 0 && m_random.unit() < part;
 }
 
 /// Whether the request is taken in: in time for its objective, or late in places that
@@ -258,25 +260,25 @@
     const TimePoint now = request.arrivedAt;
     const auto cautious =
         std::chrono::duration_cast<Duration>(request.predicted * requestmachine::admissionMargin);
-    if (now + cautious <= request.wanted) {
+    if (now + cautious <= request.objectiveAt) {
         return true;
     }
-    const Duration left = request.preparedBy - now;
-    if (request.predicted > left || !mayTakeLate(request, snapshot)) {
+    const Duration left = request.preparationDeadline - now;
+    if (request.predicted > left || !mayAdmitLate(request, snapshot)) {
         return false;
     }
-    ++m_lateRequests;
-    request.isLate = true;
-    request.priority += requestmachine::latePriority;
-    request.wanted = request.preparedBy;
+    ++m_lateAdmissions;
+    request.isAdmittedLate = true;
+    request.priority += requestmachine::latePriorityPenalty;
+    request.objectiveAt = request.preparationDeadline;
     return true;
 }
 
 /// Compares the forecast with what came of it.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::learnForecast(const Request &request)
+void BasicRequestMachine<G>::recordForecastError(const Request &request)
 {
-    if (request.predicted <= Duration::zero() || request.isLate
+    if (request.predicted <= Duration::zero() || request.isAdmittedLate
         || request.arrivedAt < m_resumedAt) {
         return;
     }
@@ -284,16 +286,16 @@
     const double real = requestmachine::seconds(m_clock.now() - request.arrivedAt);
     const double sample = bias * real / requestmachine::seconds(request.predicted);
     bias += (sample - bias) * requestmachine::forecastSmoothing;
-    bias = std::clamp(bias, requestmachine::leastForecastBias, requestmachine::mostForecastBias);
+    bias = std::clamp(bias, requestmachine::minForecastBias, requestmachine::maxForecastBias);
 
     const double reading = requestmachine::seconds(m_clock.now() - request.sentAt
                                                    - requestmachine::firstEventOverhead);
     const double tokens =
-        static_cast<double>(request.bookedTokens) + static_cast<double>(request.bookedAhead);
-    const bool isTelling =
-        static_cast<std::uint64_t>(request.bookedTokens) >= requestmachine::leastTellingTokens
-        && request.bookedAhead == 0 && reading > 0;
-    if (isTelling) {
+        static_cast<double>(request.reservedTokens) + static_cast<double>(request.tokensAhead);
+    const bool isUsableSample =
+        static_cast<std::uint64_t>(request.reservedTokens) >= requestmachine::minPrefillSampleTokens
+        && request.tokensAhead == 0 && reading > 0;
+    if (isUsableSample) {
         double &rate = poolState(request.stageSpec().pool).tokensPerSecond;
         rate += (tokens / reading - rate) * requestmachine::forecastSmoothing;
     }
@@ -314,7 +316,7 @@
         return false;
     }
     request.phase = Request::Phase::Preparing;
-    schedule(request, request.preparedBy);
+    schedule(request, request.preparationDeadline);
     orderPieces(request, snapshot);
     return true;
 }
@@ -322,11 +324,11 @@
 /// The data centre where the results of pieces are needed: that of the prompt's home; of
 /// the results that are there; or, with neither, the own one.
 template <GuardPolicy G>
-std::string BasicRequestMachine<G>::resultsWantedAt(const Request &request,
-                                                    const Snapshot &snapshot) const
+std::string BasicRequestMachine<G>::preferredResultDataCentre(const Request &request,
+                                                              const Snapshot &snapshot) const
 {
     const PoolEntry *serving = snapshot.pool(request.stageSpec().pool);
-    const EndpointEntry *home = serving == nullptr ? nullptr : homeOf(request, *serving);
+    const EndpointEntry *home = serving == nullptr ? nullptr : preferredEndpoint(request, *serving);
     if (home != nullptr) {
         return home->spec.dataCentre;
     }
@@ -340,7 +342,7 @@
 void BasicRequestMachine<G>::orderPieces(Request &request, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
-    const std::string dataCentre = resultsWantedAt(request, snapshot);
+    const std::string dataCentre = preferredResultDataCentre(request, snapshot);
     std::map<std::uint32_t, OrderPieces> byStage;
     for (const PieceIndex place : request.pieces->scheduleReady(stageTimes(request, snapshot))) {
         PieceOrder order;
@@ -354,8 +356,8 @@
         std::tie(order.inputsDataCentre, order.inputBytes) =
             request.pieces->mainInputDataCentre(place.stage);
         order.priority = request.priority;
-        order.untilObjective = request.wanted - now;
-        order.untilDeadline = request.preparedBy - now;
+        order.untilObjective = request.objectiveAt - now;
+        order.untilDeadline = request.preparationDeadline - now;
         order.dataCentre = dataCentre;
         order.resultBytes = request.pipeline.route->pieceStages[place.stage].resultBytes;
         OrderPieces &action = byStage[place.stage];
@@ -384,15 +386,15 @@
 {
     const PieceOutcome &outcome = event.outcome;
     Request *request = find(outcome.id.request);
-    const bool wanted = request != nullptr && request->phase == Request::Phase::Preparing;
-    if (!wanted) {
+    const bool isAwaited = request != nullptr && request->phase == Request::Phase::Preparing;
+    if (!isAwaited) {
         ++m_counters.staleAnswers;
         if (!outcome.handle.empty()) {
             m_actions.emplace_back(FreeResults{{outcome.handle}});
         }
         return;
     }
-    if (refuseQuarantined(*request, snapshot)) {
+    if (rejectQuarantined(*request, snapshot)) {
         if (!outcome.handle.empty()) {
             m_actions.emplace_back(FreeResults{{outcome.handle}});
         }
@@ -408,8 +410,8 @@
         }
         break;
     case PieceFault::InputGone:
-        if (request->remakes < requestmachine::mostRemakes) {
-            ++request->remakes;
+        if (request->recomputations < requestmachine::maxRecomputations) {
+            ++request->recomputations;
             request->pieces->reschedule(place);
             request->pieces->recomputeInputs(place.stage);
             break;
@@ -468,21 +470,21 @@
 
 /// The results that the request needs are gone or were freed: they are made again.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::piecesLost(Request &request, const Snapshot &snapshot)
+void BasicRequestMachine<G>::handleLostResults(Request &request, const Snapshot &snapshot)
 {
-    if (request.remakes >= requestmachine::mostRemakes) {
+    if (request.recomputations >= requestmachine::maxRecomputations) {
         fail(request, Reason::StageFailed,
              makeError(absl::StatusCode::kUnavailable, "pieces", request.endpoint,
                        "the results were lost again"),
              snapshot);
         return;
     }
-    ++request.remakes;
+    ++request.recomputations;
     request.pieces->recomputeFinalResults();
     request.phase = Request::Phase::Preparing;
-    if (request.headPassedOn) {
+    if (request.headForwarded) {
         // Its objective was met or missed with the first event; what is left is its end.
-        request.preparedBy = request.deadline;
+        request.preparationDeadline = request.deadline;
     }
     orderPieces(request, snapshot);
 }
@@ -492,37 +494,37 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handle(const StageEvent &event, const Snapshot &snapshot)
 {
-    noticePause();
+    detectSuspension();
     Request *request = findCurrent(event.call);
     if (request == nullptr) {
         return;
     }
     if (G::matchesAttempts && event.echoed != event.call) {
-        refuseAnswer(*request, "the stream carries another request's identity", snapshot);
+        rejectAnswer(*request, "the stream carries another request's identity", snapshot);
         return;
     }
     // An event is passed on once, and none before those that stand in front of it.
-    if (G::matchesAttempts && event.eventId && request->lastEvent
-        && *event.eventId != *request->lastEvent + 1) {
-        refuseAnswer(*request, "the stream repeats or leaves out an event", snapshot);
+    if (G::matchesAttempts && event.eventId && request->lastEventId
+        && *event.eventId != *request->lastEventId + 1) {
+        rejectAnswer(*request, "the stream repeats or leaves out an event", snapshot);
         return;
     }
     if (const EndpointEntry *endpoint = endpointOf(*request, snapshot)) {
         recordProgress(*endpoint, m_clock.now());
     }
-    if (!request->headPassedOn) {
+    if (!request->headForwarded) {
         recordNotice(*request, event.notice, snapshot);
     }
     if (request->timeToFirstChunk == Duration{}) {
         request->timeToFirstChunk = m_clock.now() - request->arrivedAt;
-        learnForecast(*request);
-        unbookPrompt(*request, snapshot);
+        recordForecastError(*request);
+        releasePromptTokens(*request, snapshot);
     }
     StreamEvents action;
     action.id = request->id;
     action.bytes = event.bytes;
-    if (!request->headPassedOn) {
-        request->headPassedOn = true;
+    if (!request->headForwarded) {
+        request->headForwarded = true;
         action.head = event.head;
         // They were read before the first event. Kept for the case that the stream breaks
         // and goes on elsewhere, results of 1.5 MB held all room of a stage for as long as
@@ -533,7 +535,7 @@
         }
     }
     if (event.eventId) {
-        request->lastEvent = event.eventId;
+        request->lastEventId = event.eventId;
     }
     ++request->tokens;
     m_actions.emplace_back(std::move(action));
@@ -542,7 +544,7 @@
 // Retries ---------------------------------------------------------------------
 
 template <GuardPolicy G>
-RetryBudget &BasicRequestMachine<G>::budgetOf(const std::string &pool)
+RetryBudget &BasicRequestMachine<G>::retryBudget(const std::string &pool)
 {
     return m_budgets.try_emplace(pool, m_limits.retries).first->second;
 }
@@ -552,7 +554,7 @@
 {
     const int known =
         m_limits.daemons == nullptr ? 1 : m_limits.daemons->load(std::memory_order_relaxed);
-    return std::max(known, requestmachine::leastDaemons) * m_limits.workers;
+    return std::max(known, requestmachine::minDaemonCount) * m_limits.workers;
 }
 
 template <GuardPolicy G>
@@ -562,8 +564,8 @@
     if (mayHaveRun && !request.pipeline.repeatable && G::retriesOnlyRepeatable) {
         return false;
     }
-    const std::uint32_t mostRuns = request.pipeline.route->mostEndpoints;
-    if (mayHaveRun && request.mayHaveRun >= mostRuns) {
+    const std::uint32_t maxRuns = request.pipeline.route->mostEndpoints;
+    if (mayHaveRun && request.possibleRuns >= maxRuns) {
         return false;
     }
     if (request.attempt >= requestmachine::maxProxiedSends) {
@@ -572,10 +574,10 @@
     if (!fitsDeadline(request, remainingTime(request))) {
         return false;
     }
-    if (request.arrivals == 0) {
+    if (request.deliveredSends == 0) {
         return true;
     }
-    return budgetOf(request.stageSpec().pool).allows(m_clock.now(), daemons());
+    return retryBudget(request.stageSpec().pool).allows(m_clock.now(), daemons());
 }
 
 } // namespace harelink
--- a/lib/Kernel/clienttimeoutmodel.cpp
+++ b/lib/Kernel/clienttimeoutmodel.cpp
@@ -15,16 +15,16 @@
 /// What is usual is allowed by at least this part of requests, and by so many: first tries
 /// are that many even where callers come back often, and the few that are more patient than
 /// others are fewer.
-constexpr std::size_t usualPart = 6;
-constexpr std::size_t leastUsual = 4;
+constexpr std::size_t typicalShareDivisor = 6;
+constexpr std::size_t minTypicalSamples = 4;
 
 } // namespace
 
 /// The longest time that callers usually allow; zero where no time is usual.
-Duration ClientTimeoutModel::usual() const
+Duration ClientTimeoutModel::typicalTimeout() const
 {
-    const std::size_t count = std::min(m_noted, sampleCount);
-    const std::size_t needed = std::max(leastUsual, count / usualPart);
+    const std::size_t count = std::min(m_recorded, sampleCount);
+    const std::size_t needed = std::max(minTypicalSamples, count / typicalShareDivisor);
     std::array<Duration, sampleCount> sorted = m_samples;
     std::sort(sorted.begin(), sorted.begin() + static_cast<std::ptrdiff_t>(count),
               std::greater<>());
@@ -38,9 +38,9 @@
 
 Duration ClientTimeoutModel::record(Duration allowed)
 {
-    m_samples[m_noted++ % sampleCount] = allowed;
-    const Duration spent = usual() - allowed;
-    return spent > firstTrySpread ? spent : Duration::zero();
+    m_samples[m_recorded++ % sampleCount] = allowed;
+    const Duration timeSpent = typicalTimeout() - allowed;
+    return timeSpent > firstTrySpread ? timeSpent : Duration::zero();
 }
 
 } // namespace harelink
--- a/lib/Kernel/retrybudget.cpp
+++ b/lib/Kernel/retrybudget.cpp
@@ -9,7 +9,7 @@
 
 /// The part of the bound that is used: daemons divide it by what they know of each
 /// other, and calls arrive later than they were counted here.
-constexpr double usedPart = 0.75;
+constexpr double usableFraction = 0.75;
 
 } // namespace
 
@@ -51,7 +51,7 @@
         repeats += slot.repeats;
     }
     const double allowance = m_options.allowance / std::max(1, daemons);
-    return repeats + 1 <= (m_options.ratio * requests + allowance) * usedPart;
+    return repeats + 1 <= (m_options.ratio * requests + allowance) * usableFraction;
 }
 
 } // namespace harelink
--- a/unittests/Kernel/clienttimeoutmodeltest.cpp
+++ b/unittests/Kernel/clienttimeoutmodeltest.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-ClientTimeoutModel modelOf(milliseconds usual)
+ClientTimeoutModel modelOf(milliseconds typicalTimeout)
 {
     ClientTimeoutModel model;
     for (int i = 0; i < 40; ++i) {
-        (void)model.record(usual - milliseconds(i % 9));
+        (void)model.record(typicalTimeout - milliseconds(i % 9));
     }
     return model;
 }
@@ -28,9 +28,9 @@
 {
     ClientTimeoutModel model = modelOf(milliseconds(6000));
     CHECK(model.record(milliseconds(5995)) == Duration::zero());
-    const Duration spent = model.record(milliseconds(4800));
-    CHECK(spent >= milliseconds(1150));
-    CHECK(spent <= milliseconds(1250));
+    const Duration timeSpent = model.record(milliseconds(4800));
+    CHECK(timeSpent >= milliseconds(1150));
+    CHECK(timeSpent <= milliseconds(1250));
 }
 
 TEST(ClientTimeoutModel, NothingIsConcludedFromFewRequests)
@@ -45,8 +45,8 @@
     ClientTimeoutModel model;
     for (int i = 0; i < 60; ++i) {
         const bool isPatient = i % 10 == 0;
-        const Duration spent = model.record(milliseconds(isPatient ? 20'000 : 6000));
-        CHECK(spent == Duration::zero());
+        const Duration timeSpent = model.record(milliseconds(isPatient ? 20'000 : 6000));
+        CHECK(timeSpent == Duration::zero());
     }
 }
 
@@ -63,8 +63,9 @@
     ClientTimeoutModel model = modelOf(milliseconds(6000));
     for (int i = 0; i < 64; ++i) {
         const bool comesBack = i % 2 == 1;
-        const Duration spent = model.record(milliseconds(comesBack ? 4000 + 40 * (i % 11) : 6000));
-        CHECK(comesBack == (spent > Duration::zero()));
+        const Duration timeSpent =
+            model.record(milliseconds(comesBack ? 4000 + 40 * (i % 11) : 6000));
+        CHECK(comesBack == (timeSpent > Duration::zero()));
     }
     for (int i = 0; i < 40; ++i) {
         (void)model.record(milliseconds(3000));
--- a/unittests/Kernel/overloadtest.cpp
+++ b/unittests/Kernel/overloadtest.cpp
@@ -34,32 +34,32 @@
 template <GuardPolicy G>
 BurstResult burstBeforeANarrowSecondStage()
 {
-    MachineFixture<G> bench(1, 1);
-    auto serve = [&bench, served = std::size_t(0),
+    MachineFixture<G> fixture(1, 1);
+    auto serve = [&fixture, served = std::size_t(0),
                   due = std::multimap<TimePoint, CallId>()]() mutable {
         for (;;) {
-            for (; served < bench.sends.size(); ++served) {
-                const bool slow = bench.sends[served].stage == "generate";
-                due.emplace(bench.clock.now() + milliseconds(slow ? 100 : 1),
-                            bench.sends[served].call);
+            for (; served < fixture.sends.size(); ++served) {
+                const bool slow = fixture.sends[served].stage == "generate";
+                due.emplace(fixture.clock.now() + milliseconds(slow ? 100 : 1),
+                            fixture.sends[served].call);
             }
             if (due.empty()) {
                 return;
             }
             const auto [time, call] = *due.begin();
             due.erase(due.begin());
-            bench.advance(time - bench.clock.now());
-            bench.answer(call);
+            fixture.advance(time - fixture.clock.now());
+            fixture.answer(call);
         }
     };
-    bench.arrive("answer");
+    fixture.arrive("answer");
     serve();
     for (int i = 0; i < 30; ++i) {
-        bench.arrive("answer");
+        fixture.arrive("answer");
     }
     serve();
     BurstResult result;
-    for (const AnswerCaller &answer : bench.answers) {
+    for (const AnswerCaller &answer : fixture.answers) {
         const bool completed = answer.outcome == Outcome::Completed;
         const bool refusedUnrun = answer.outcome == Outcome::NotRun;
         result.completed += completed ? 1 : 0;
@@ -75,30 +75,30 @@
 
 TEST(Overload, AnEndpointThatRefusedIsLeftAloneForPartOfACall)
 {
-    Bench bench(1, 4);
-    bench.arrive("answer");
-    bench.advance(milliseconds(40));
-    bench.answer(bench.sends.at(0).call);
-    bench.arrive("answer");
-    const std::size_t sends = bench.sends.size();
-    bench.failCall(bench.sends.back().call, SendEvidence::RefusedBeforeRun);
-    CHECK_EQUAL(sends, bench.sends.size());
-    bench.advance(milliseconds(9));
-    CHECK_EQUAL(sends, bench.sends.size());
-    bench.advance(milliseconds(2));
-    CHECK_EQUAL(sends + 1, bench.sends.size());
+    Bench fixture(1, 4);
+    fixture.arrive("answer");
+    fixture.advance(milliseconds(40));
+    fixture.answer(fixture.sends.at(0).call);
+    fixture.arrive("answer");
+    const std::size_t sends = fixture.sends.size();
+    fixture.failCall(fixture.sends.back().call, SendEvidence::RefusedBeforeRun);
+    CHECK_EQUAL(sends, fixture.sends.size());
+    fixture.advance(milliseconds(9));
+    CHECK_EQUAL(sends, fixture.sends.size());
+    fixture.advance(milliseconds(2));
+    CHECK_EQUAL(sends + 1, fixture.sends.size());
 }
 
 TEST(Overload, RefusalsDoNotUseUpARequestsSends)
 {
-    Bench bench(1, 4);
-    bench.arrive("answer");
+    Bench fixture(1, 4);
+    fixture.arrive("answer");
     for (int i = 0; i < 40; ++i) {
-        bench.failCall(bench.sends.back().call, SendEvidence::RefusedBeforeRun);
-        bench.advance(milliseconds(3));
+        fixture.failCall(fixture.sends.back().call, SendEvidence::RefusedBeforeRun);
+        fixture.advance(milliseconds(3));
     }
-    CHECK_EQUAL(41u, bench.sends.size());
-    CHECK_EQUAL(0u, bench.answers.size());
+    CHECK_EQUAL(41u, fixture.sends.size());
+    CHECK_EQUAL(0u, fixture.answers.size());
 }
 
 TEST(Overload, AQueueBehindALaterStageIsForeseen)
@@ -113,25 +113,25 @@
 
 TEST(Overload, ARequestWaitsForAPoolThatCannotBeReached)
 {
-    Bench bench(2, 4);
-    bench.arrive("answer");
+    Bench fixture(2, 4);
+    fixture.arrive("answer");
     std::size_t failed = 0;
     const auto refuseConnections = [&](milliseconds time) {
         for (milliseconds passed{}; passed < time; passed += milliseconds(10)) {
-            while (failed < bench.sends.size()) {
-                bench.failCall(bench.sends[failed++].call, SendEvidence::NothingSent);
+            while (failed < fixture.sends.size()) {
+                fixture.failCall(fixture.sends[failed++].call, SendEvidence::NothingSent);
             }
-            bench.advance(milliseconds(10));
+            fixture.advance(milliseconds(10));
         }
     };
     refuseConnections(milliseconds(600));
-    CHECK_EQUAL(0u, bench.answers.size());
+    CHECK_EQUAL(0u, fixture.answers.size());
     // Each endpoint is asked three times, then after 200 and 400 ms.
-    CHECK(bench.sends.size() <= 10);
-    bench.advance(milliseconds(300));
-    CHECK(failed < bench.sends.size());
-    bench.answer(bench.sends.back().call);
-    STRCMP_EQUAL("generate", bench.sends.back().stage.c_str());
+    CHECK(fixture.sends.size() <= 10);
+    fixture.advance(milliseconds(300));
+    CHECK(failed < fixture.sends.size());
+    fixture.answer(fixture.sends.back().call);
+    STRCMP_EQUAL("generate", fixture.sends.back().stage.c_str());
 }
 
 TEST(Overload, CallsThatStaySilentMakeAnEndpointExpectedToBeSlow)
@@ -164,21 +164,22 @@
 
 TEST(Overload, APoolThatStaysUnreachableIsWaitedForOnlySoLong)
 {
-    Bench bench(2, 4);
+    Bench fixture(2, 4);
     std::size_t failed = 0;
     // Forty requests a second for eight seconds, of which none can be served.
     std::vector<std::size_t> refusedBySecond(8);
     for (int turn = 0; turn < 320; ++turn) {
-        bench.arrive("answer");
-        const std::size_t before = bench.answers.size();
-        while (failed < bench.sends.size()) {
-            bench.failCall(bench.sends[failed++].call, SendEvidence::NothingSent);
+        fixture.arrive("answer");
+        const std::size_t before = fixture.answers.size();
+        while (failed < fixture.sends.size()) {
+            fixture.failCall(fixture.sends[failed++].call, SendEvidence::NothingSent);
         }
-        bench.advance(milliseconds(25));
-        for (std::size_t i = before; i < bench.answers.size(); ++i) {
-            CHECK(bench.answers[i].outcome == Outcome::NotRun);
+        fixture.advance(milliseconds(25));
+        for (std::size_t i = before; i < fixture.answers.size(); ++i) {
+            CHECK(fixture.answers[i].outcome == Outcome::NotRun);
         }
-        const bool atOnce = !bench.answers.empty() && bench.answers.back().elapsed == Duration{};
+        const bool atOnce =
+            !fixture.answers.empty() && fixture.answers.back().elapsed == Duration{};
         refusedBySecond[static_cast<std::size_t>(turn) / 40] += atOnce ? 1 : 0;
     }
     CHECK_EQUAL(0u, refusedBySecond[3]);
@@ -187,22 +188,22 @@
 
 TEST(Overload, ARequestWhoseEstimateFellIsStillGivenUpInTime)
 {
-    Bench bench(1, 1);
-    bench.arrive("answer");
+    Bench fixture(1, 1);
+    fixture.arrive("answer");
     for (const std::size_t stage : {0u, 1u}) {
-        bench.advance(milliseconds(200));
-        bench.answer(bench.sends.at(stage).call);
+        fixture.advance(milliseconds(200));
+        fixture.answer(fixture.sends.at(stage).call);
     }
     // The only endpoint hangs; while the second request waits, the estimates fade.
-    bench.advance(milliseconds(1000));
-    bench.arrive("answer");
-    const RequestId waiting = bench.arrive("answer");
+    fixture.advance(milliseconds(1000));
+    fixture.arrive("answer");
+    const RequestId waiting = fixture.arrive("answer");
     for (int turn = 0; turn < 100; ++turn) {
-        bench.advance(milliseconds(10));
+        fixture.advance(milliseconds(10));
     }
-    const auto given = std::find_if(bench.answers.begin(), bench.answers.end(),
+    const auto given = std::find_if(fixture.answers.begin(), fixture.answers.end(),
                                     [&](const auto &answer) { return answer.id == waiting; });
-    CHECK(given != bench.answers.end());
+    CHECK(given != fixture.answers.end());
     CHECK(given->reason == Reason::CannotFinish);
     CHECK(given->elapsed < milliseconds(990));
 }
--- a/unittests/Kernel/requestdigesttest.cpp
+++ b/unittests/Kernel/requestdigesttest.cpp
@@ -55,19 +55,20 @@
 
 TEST(RequestDigest, ACallThatBrokeIsToldWithItsRequest)
 {
-    ProxiedFixture bench;
-    bench.arrive("/record/1");
-    bench.fail(bench.sends.at(0), SendEvidence::Sent, std::nullopt, true);
-    LONGS_EQUAL(1, bench.broken.size());
-    STRCMP_EQUAL(bench.sends.at(0).endpoint.c_str(), bench.broken.at(0).broken.endpoint.c_str());
-    CHECK(bench.broken.at(0).broken.digest == bench.answers.at(0).digest);
-    LONGS_EQUAL(1, bench.machine.counters().brokenCalls);
+    ProxiedFixture fixture;
+    fixture.arrive("/record/1");
+    fixture.fail(fixture.sends.at(0), SendEvidence::Sent, std::nullopt, true);
+    LONGS_EQUAL(1, fixture.broken.size());
+    STRCMP_EQUAL(fixture.sends.at(0).endpoint.c_str(),
+                 fixture.broken.at(0).broken.endpoint.c_str());
+    CHECK(fixture.broken.at(0).broken.digest == fixture.answers.at(0).digest);
+    LONGS_EQUAL(1, fixture.machine.counters().brokenCalls);
 }
 
 TEST(RequestDigest, AFailureThatTheEndpointAnsweredIsNoBrokenCall)
 {
-    ProxiedFixture bench;
-    bench.arrive("/record/1");
-    bench.fail(bench.sends.at(0), SendEvidence::Sent, ProxiedAnswer{500, {}, ""});
-    LONGS_EQUAL(0, bench.broken.size());
+    ProxiedFixture fixture;
+    fixture.arrive("/record/1");
+    fixture.fail(fixture.sends.at(0), SendEvidence::Sent, ProxiedAnswer{500, {}, ""});
+    LONGS_EQUAL(0, fixture.broken.size());
 }
--- a/unittests/Kernel/streamtest.cpp
+++ b/unittests/Kernel/streamtest.cpp
@@ -53,17 +53,17 @@
 template <GuardPolicy G>
 std::string streamedAcrossABreak()
 {
-    StreamBench<G> bench;
-    const CallId first = bench.sends.back().call;
-    bench.piece(first, 0, "a");
-    bench.piece(first, 1, "b");
-    bench.failCall(first, SendEvidence::Sent);
-    const CallId second = bench.sends.back().call;
-    bench.piece(second, 2, "c");
-    bench.piece(first, 2, "c");
-    bench.piece(second, 3, "d");
-    bench.answer(second, "\"abcd\"");
-    return bench.streamed();
+    StreamBench<G> fixture;
+    const CallId first = fixture.sends.back().call;
+    fixture.piece(first, 0, "a");
+    fixture.piece(first, 1, "b");
+    fixture.failCall(first, SendEvidence::Sent);
+    const CallId second = fixture.sends.back().call;
+    fixture.piece(second, 2, "c");
+    fixture.piece(first, 2, "c");
+    fixture.piece(second, 3, "d");
+    fixture.answer(second, "\"abcd\"");
+    return fixture.streamed();
 }
 
 } // namespace
@@ -72,21 +72,21 @@
 
 TEST(Stream, OnlyTheLastStageStreams)
 {
-    const StreamBench<AllGuards> bench;
-    CHECK(!bench.sends.at(0).streams);
-    CHECK(bench.sends.at(1).streams);
+    const StreamBench<AllGuards> fixture;
+    CHECK(!fixture.sends.at(0).streams);
+    CHECK(fixture.sends.at(1).streams);
 }
 
 TEST(Stream, ABrokenStreamGoesOnAtTheNextToken)
 {
-    StreamBench<AllGuards> bench;
-    const CallId first = bench.sends.back().call;
-    bench.piece(first, 0, "a");
-    bench.piece(first, 1, "b");
-    bench.failCall(first, SendEvidence::Sent);
-    CHECK_EQUAL(2u, bench.sends.back().tokensDelivered);
-    STRCMP_EQUAL("ab", bench.sends.back().textDelivered.c_str());
-    CHECK_EQUAL(1u, bench.machine.counters().resumedStreams);
+    StreamBench<AllGuards> fixture;
+    const CallId first = fixture.sends.back().call;
+    fixture.piece(first, 0, "a");
+    fixture.piece(first, 1, "b");
+    fixture.failCall(first, SendEvidence::Sent);
+    CHECK_EQUAL(2u, fixture.sends.back().tokensDelivered);
+    STRCMP_EQUAL("ab", fixture.sends.back().textDelivered.c_str());
+    CHECK_EQUAL(1u, fixture.machine.counters().resumedStreams);
 }
 
 TEST(Stream, NoTokenIsPassedOnTwice)
@@ -98,45 +98,45 @@
 
 TEST(Stream, ATokenThatWasLeftOutBreaksTheCall)
 {
-    StreamBench<AllGuards> bench;
-    const CallId first = bench.sends.back().call;
-    bench.piece(first, 0, "a");
-    bench.piece(first, 2, "c");
-    STRCMP_EQUAL("a", bench.streamed().c_str());
-    CHECK(bench.cancels.at(0).call == first);
-    CHECK_EQUAL(1u, bench.sends.back().tokensDelivered);
+    StreamBench<AllGuards> fixture;
+    const CallId first = fixture.sends.back().call;
+    fixture.piece(first, 0, "a");
+    fixture.piece(first, 2, "c");
+    STRCMP_EQUAL("a", fixture.streamed().c_str());
+    CHECK(fixture.cancels.at(0).call == first);
+    CHECK_EQUAL(1u, fixture.sends.back().tokensDelivered);
 }
 
 TEST(Stream, AStreamThatCannotGoOnEndsHonestly)
 {
-    StreamBench<AllGuards> bench;
-    bench.piece(bench.sends.back().call, 0, "a");
-    bench.advance(milliseconds(1000));
-    CHECK_EQUAL(1u, bench.answers.size());
-    CHECK(bench.answers[0].outcome == Outcome::Unknown);
-    CHECK_EQUAL(1u, bench.answers[0].tokens);
+    StreamBench<AllGuards> fixture;
+    fixture.piece(fixture.sends.back().call, 0, "a");
+    fixture.advance(milliseconds(1000));
+    CHECK_EQUAL(1u, fixture.answers.size());
+    CHECK(fixture.answers[0].outcome == Outcome::Unknown);
+    CHECK_EQUAL(1u, fixture.answers[0].tokens);
 }
 
 TEST(Stream, ACallerThatWentAwayCostsNothingMore)
 {
-    StreamBench<AllGuards> bench;
-    const CallId call = bench.sends.back().call;
-    bench.piece(call, 0, "a");
-    bench.machine.handle(CallerGone{call.request}, *bench.snapshot);
-    bench.collect();
-    CHECK(bench.cancels.at(0).call == call);
-    CHECK(bench.answers.at(0).reason == Reason::CallerGone);
-    CHECK_EQUAL(0u, bench.machine.inProgress());
+    StreamBench<AllGuards> fixture;
+    const CallId call = fixture.sends.back().call;
+    fixture.piece(call, 0, "a");
+    fixture.machine.handle(CallerGone{call.request}, *fixture.snapshot);
+    fixture.collect();
+    CHECK(fixture.cancels.at(0).call == call);
+    CHECK(fixture.answers.at(0).reason == Reason::CallerGone);
+    CHECK_EQUAL(0u, fixture.machine.inProgress());
 }
 
 TEST(Stream, ARecordGoesOnWithoutItsCaller)
 {
-    MachineFixture<AllGuards> bench;
-    const RequestId id = bench.arrive("record", "drivers", "k1");
-    bench.decide(id, ClaimVerdict::Granted);
-    bench.machine.handle(CallerGone{id}, *bench.snapshot);
-    bench.collect();
-    CHECK_EQUAL(0u, bench.cancels.size());
-    bench.answer(bench.sends.at(0).call);
-    CHECK(bench.finishes.at(0).outcome == ClaimOutcome::Done);
+    MachineFixture<AllGuards> fixture;
+    const RequestId id = fixture.arrive("record", "drivers", "k1");
+    fixture.decide(id, ClaimVerdict::Granted);
+    fixture.machine.handle(CallerGone{id}, *fixture.snapshot);
+    fixture.collect();
+    CHECK_EQUAL(0u, fixture.cancels.size());
+    fixture.answer(fixture.sends.at(0).call);
+    CHECK(fixture.finishes.at(0).outcome == ClaimOutcome::Done);
 }
