--- a/lib/Kernel/coldstart.cpp
+++ b/lib/Kernel/coldstart.cpp
@@ -1,4 +1,4 @@
-//===- coldstart.cpp - Endpoints that are cold ----------------------------===//
+//===- coldstart.cpp - Cold start of endpoints ----------------------------===//
 
 #include "harelink/Kernel/coldstart.h"
 
@@ -11,21 +11,23 @@
 namespace harelink {
 namespace {
 
-/// Of the rate that an endpoint bears while it is cold, so much is used in the mean: who is
-/// drawn is left to chance, and counts of hosts differ for a while when hosts come.
-constexpr double usedPart = 0.5;
-/// A second, and some of the next: sends that leave a second apart may arrive closer.
+/// Average fraction of an endpoint's cold rate that is used. The rest is a margin for the random
+/// number of selected daemons, and for host counts that differ while hosts join.
+constexpr double usedFraction = 0.5;
+/// Minimum interval between sends: one second plus a margin, because sends that leave a second
+/// apart may arrive closer together.
 constexpr std::chrono::milliseconds sendInterval{1100};
 
-/// How long an answer that an endpoint is warm holds: bounds what all daemons together send to
-/// one that turns cold.
-constexpr std::chrono::milliseconds warmAnswerLife{100};
-/// How long a status check may take; above the timeout of its call.
-constexpr std::chrono::milliseconds checkPatience{250};
-/// How long an endpoint that did not answer is left alone.
-constexpr std::chrono::milliseconds unansweredPause{1000};
+/// How long a status report of a warm endpoint is valid; bounds what all daemons together send to
+/// one that has become cold.
+constexpr std::chrono::milliseconds warmReportTtl{100};
+/// Timeout of a status check; longer than the timeout of its call.
+constexpr std::chrono::milliseconds checkTimeout{250};
+/// How long an endpoint that did not answer a status check gets no requests.
+constexpr std::chrono::milliseconds unansweredBackoff{1000};
 
-/// What \p shares allows at \p entry of \p pool, as the load holds it: 0 for nothing.
+/// Returns the send interval that \p shares allows at \p entry of \p pool, in the format of
+/// EndpointLoad::coldInterval: 0 if it allows no sends.
 std::int64_t coldIntervalOf(const EndpointEntry &entry, const PoolSpec &pool,
                             const ColdShares &shares)
 {
@@ -34,38 +36,38 @@
     return std::chrono::nanoseconds(interval).count();
 }
 
-/// For how long \p entry is cold from now on; nothing where nothing is said anew.
+/// Returns for how long \p entry is cold from now on; std::nullopt if its state is unchanged.
 std::optional<Duration> coldFor(const EndpointEntry &entry, const PoolSpec &pool,
                                 const Snapshot &before)
 {
     const EndpointEntry *known = before.endpoint(entry.spec.name);
     if (known == nullptr) {
-        // What stands there when this daemon starts may have been there for long.
-        const Duration unsaid = before.ready ? Duration(pool.coldTime) : Duration::zero();
-        return entry.spec.coldFor ? Duration(*entry.spec.coldFor) : unsaid;
+        // Endpoints that exist when this daemon starts may have been running for a long time.
+        const Duration undeclared = before.ready ? Duration(pool.coldTime) : Duration::zero();
+        return entry.spec.coldFor ? Duration(*entry.spec.coldFor) : undeclared;
     }
     if (known->isDrained && !entry.isDrained) {
         return std::max<Duration>(pool.coldTime,
                                   entry.spec.coldFor.value_or(std::chrono::milliseconds::zero()));
     }
-    const bool isNews = entry.spec.coldFor && entry.spec.coldFor != known->spec.coldFor;
-    return isNews ? std::optional<Duration>(*entry.spec.coldFor) : std::nullopt;
+    const bool isNew = entry.spec.coldFor && entry.spec.coldFor != known->spec.coldFor;
+    return isNew ? std::optional<Duration>(*entry.spec.coldFor) : std::nullopt;
 }
 
 } // namespace
 
 std::optional<Duration> ColdShares::intervalAt(const std::string &endpoint, double perSecond) const
 {
-    const double used = perSecond * usedPart;
+    const double used = perSecond * usedFraction;
     if (m_hosts == 0 || used <= 0) {
         return std::nullopt;
     }
-    const double part = used / static_cast<double>(m_hosts);
-    if (part >= 1) {
-        return std::chrono::duration_cast<Duration>(sendInterval / part);
+    const double share = used / static_cast<double>(m_hosts);
+    if (share >= 1) {
+        return std::chrono::duration_cast<Duration>(sendInterval / share);
     }
-    const bool isDrawn = unitHash(fmt::format("cold/{}/{}", endpoint, m_self)) < part;
-    return isDrawn ? std::optional<Duration>(sendInterval) : std::nullopt;
+    const bool isSelected = unitHash(fmt::format("cold/{}/{}", endpoint, m_self)) < share;
+    return isSelected ? std::optional<Duration>(sendInterval) : std::nullopt;
 }
 
 void recordColdStarts(const Snapshot &next, const Snapshot &before, TimePoint now,
@@ -73,7 +75,7 @@
 {
     for (const auto &[name, pool] : next.pools) {
         if (pool.spec.coldRate <= 0) {
-            continue; // It does not say that its endpoints bear less while they are cold.
+            continue; // The pool declares no lower rate for cold endpoints.
         }
         for (const EndpointEntry &entry : pool.endpoints) {
             const std::optional<Duration> time = coldFor(entry, pool.spec, before);
@@ -107,14 +109,14 @@
 
 bool recordEndpointUpdatesUntil(const Snapshot &snapshot, TimePoint until, const ColdShares &shares)
 {
-    const std::int64_t nothing = steadyNanos(TimePoint::min());
+    const std::int64_t never = steadyNanos(TimePoint::min());
     const std::int64_t before = snapshot.daemon->endpointUpdatesUntil.exchange(
         steadyNanos(until), std::memory_order_relaxed);
-    const bool isChange = (before == nothing) != (until == TimePoint::min());
-    if (isChange && before != nothing) {
+    const bool hasChanged = (before == never) != (until == TimePoint::min());
+    if (hasChanged && before != never) {
         recordColdShares(snapshot, shares);
     }
-    return isChange;
+    return hasChanged;
 }
 
 void recordColdState(const Snapshot &snapshot, const ColdStateChecked &state,
@@ -127,13 +129,12 @@
     }
     EndpointLoad &load = *entry->load;
     if (!state.coldFor) {
-        load.fullUntil.store(steadyNanos(now + unansweredPause), std::memory_order_relaxed);
+        load.fullUntil.store(steadyNanos(now + unansweredBackoff), std::memory_order_relaxed);
         return;
     }
     load.checkedUntil.store(0, std::memory_order_relaxed);
     if (*state.coldFor == Duration::zero()) {
-        load.warmUntil.store(steadyNanos(state.askedAt + warmAnswerLife),
-                             std::memory_order_relaxed);
+        load.warmUntil.store(steadyNanos(state.askedAt + warmReportTtl), std::memory_order_relaxed);
         return;
     }
     load.coldInterval.store(coldIntervalOf(*entry, pool->spec, shares), std::memory_order_relaxed);
@@ -150,7 +151,7 @@
     std::atomic<std::int64_t> &until = entry.load->checkedUntil;
     std::int64_t before = until.load(std::memory_order_relaxed);
     return before <= steadyNanos(now)
-           && until.compare_exchange_strong(before, steadyNanos(now + checkPatience),
+           && until.compare_exchange_strong(before, steadyNanos(now + checkTimeout),
                                             std::memory_order_relaxed);
 }
 
--- a/lib/Kernel/endpointlimits.cpp
+++ b/lib/Kernel/endpointlimits.cpp
@@ -1,4 +1,4 @@
-//===- endpointlimits.cpp - Stated rate limits ----------------------------===//
+//===- endpointlimits.cpp - Announced rate limits -------------------------===//
 
 #include "harelink/Kernel/endpointlimits.h"
 
@@ -9,14 +9,15 @@
 
 using std::chrono::milliseconds;
 
-/// How long peers are told that a limit is lifted; the same after a peer told an older one.
-constexpr milliseconds liftedTelling{10'000};
-/// A limit that nobody has stated for longer is not taken over from a peer.
-constexpr milliseconds longestReportAge{10'000};
-/// A report is newer by its way through the network than the statement that it repeats.
-constexpr milliseconds reportMargin{200};
-/// Reports in one heartbeat.
-constexpr std::size_t mostReports = 64;
+/// How long peers are informed that a limit was lifted; restarted if a peer reports an older
+/// limit.
+constexpr milliseconds liftedReportPeriod{10'000};
+/// Maximum age of the announcement in a peer's report of an unknown limit; older ones are ignored.
+constexpr milliseconds maxReportAge{10'000};
+/// Network delay makes a report look newer than the announcement that it repeats, by up to this.
+constexpr milliseconds reportDelayMargin{200};
+/// Maximum number of reports in a heartbeat.
+constexpr std::size_t maxReports = 64;
 
 } // namespace
 
@@ -29,7 +30,7 @@
                && replace(known->second, announcement, now);
     }
     if (!announcement.perSecond) {
-        return false; // It never stated one.
+        return false; // It never announced one.
     }
     m_entries.emplace(endpoint, Entry{announcement, now});
     return true;
@@ -40,26 +41,26 @@
     const LimitAnnouncement announcement{report.perSecond, now - report.age};
     const auto known = m_entries.find(report.endpoint);
     if (known == m_entries.end()) {
-        return report.age <= longestReportAge && record(report.endpoint, announcement, now);
+        return report.age <= maxReportAge && record(report.endpoint, announcement, now);
     }
     Entry &entry = known->second;
-    if (announcement.at > entry.announcement.at + reportMargin) {
+    if (announcement.at > entry.announcement.at + reportDelayMargin) {
         return replace(entry, announcement, now);
     }
     if (!entry.announcement.perSecond && report.perSecond) {
-        entry.reportUntil = now + liftedTelling;
+        entry.reportUntil = now + liftedReportPeriod;
     }
     return false;
 }
 
 bool EndpointLimits::replace(Entry &entry, const LimitAnnouncement &announcement, TimePoint now)
 {
-    const bool isChange = entry.announcement.perSecond != announcement.perSecond;
+    const bool hasChanged = entry.announcement.perSecond != announcement.perSecond;
     entry.announcement = announcement;
-    if (isChange && !announcement.perSecond) {
-        entry.reportUntil = now + liftedTelling;
+    if (hasChanged && !announcement.perSecond) {
+        entry.reportUntil = now + liftedReportPeriod;
     }
-    return isChange;
+    return hasChanged;
 }
 
 std::vector<EndpointLimitReport> EndpointLimits::reports(TimePoint now) const
@@ -71,10 +72,10 @@
                                std::max<Duration>(now - entry.announcement.at, Duration::zero())});
         }
     }
-    if (reports.size() > mostReports) {
-        std::nth_element(reports.begin(), reports.begin() + mostReports, reports.end(),
+    if (reports.size() > maxReports) {
+        std::nth_element(reports.begin(), reports.begin() + maxReports, reports.end(),
                          [](const auto &a, const auto &b) { return a.age < b.age; });
-        reports.resize(mostReports);
+        reports.resize(maxReports);
     }
     return reports;
 }
--- a/lib/Kernel/fairqueue.cpp
+++ b/lib/Kernel/fairqueue.cpp
@@ -8,9 +8,9 @@
 namespace harelink {
 namespace {
 
-/// The account's recent use of the pool, in seconds for a unit of weight.
-double weightedUse(const Snapshot &snapshot, const std::string &account, const std::string &pool,
-                   TimePoint now)
+/// Returns the account's recent usage of the pool, in seconds per unit of weight.
+double weightedUsage(const Snapshot &snapshot, const std::string &account, const std::string &pool,
+                     TimePoint now)
 {
     const AccountEntry *entry = snapshot.account(account);
     if (entry == nullptr) {
@@ -26,20 +26,20 @@
 
 } // namespace
 
-void FairQueue::push(const Waiter &place)
+void FairQueue::push(const Waiter &waiter)
 {
-    const bool added = m_accounts[place.account].emplace(place.due, place.sequence).second;
-    assert(added && "a request waits once");
+    const bool added = m_accounts[waiter.account].emplace(waiter.due, waiter.sequence).second;
+    assert(added && "request is already queued");
     m_size += added ? 1 : 0;
 }
 
-void FairQueue::remove(const Waiter &place)
+void FairQueue::remove(const Waiter &waiter)
 {
-    const auto backlog = m_accounts.find(place.account);
+    const auto backlog = m_accounts.find(waiter.account);
     if (backlog == m_accounts.end()) {
         return;
     }
-    m_size -= backlog->second.erase({place.due, place.sequence});
+    m_size -= backlog->second.erase({waiter.due, waiter.sequence});
     if (backlog->second.empty()) {
         m_accounts.erase(backlog);
     }
@@ -49,17 +49,17 @@
                                             const SlotShares &shares, TimePoint now)
 {
     auto best = m_accounts.end();
-    double bestUse = std::numeric_limits<double>::infinity();
+    double bestUsage = std::numeric_limits<double>::infinity();
     for (auto at = m_accounts.begin(); at != m_accounts.end(); ++at) {
         if (!shares.mayDispatch(snapshot, at->first)) {
             continue;
         }
-        const double use = weightedUse(snapshot, at->first, pool, now);
-        // Equal use goes by deadline, so that the choice never hangs on the hash order.
-        if (best == m_accounts.end() || use < bestUse
-            || (use == bestUse && *at->second.begin() < *best->second.begin())) {
+        const double usage = weightedUsage(snapshot, at->first, pool, now);
+        // Ties are broken by deadline, so that the result does not depend on the order of accounts.
+        if (best == m_accounts.end() || usage < bestUsage
+            || (usage == bestUsage && *at->second.begin() < *best->second.begin())) {
             best = at;
-            bestUse = use;
+            bestUsage = usage;
         }
     }
     if (best == m_accounts.end()) {
--- a/lib/Kernel/pooldemand.cpp
+++ b/lib/Kernel/pooldemand.cpp
@@ -1,4 +1,4 @@
-//===- pooldemand.cpp - Who still needs a pool ----------------------------===//
+//===- pooldemand.cpp - Pending demand for a pool -------------------------===//
 
 #include "harelink/Kernel/pooldemand.h"
 
@@ -8,13 +8,13 @@
 namespace harelink {
 namespace {
 
-/// The weight of an account that was deleted while its requests are in progress.
-constexpr double weightOfDeleted = 1;
+/// Weight of an account that was deleted while its requests are in progress.
+constexpr double deletedAccountWeight = 1;
 
 double weightOf(const Snapshot &snapshot, const std::string &account)
 {
     const AccountEntry *entry = snapshot.account(account);
-    return entry == nullptr ? weightOfDeleted : entry->spec.weight;
+    return entry == nullptr ? deletedAccountWeight : entry->spec.weight;
 }
 
 } // namespace
@@ -28,7 +28,7 @@
 void PoolDemand::remove(const std::string &account)
 {
     const auto found = m_accounts.find(account);
-    assert(found != m_accounts.end() && "only what was added is removed");
+    assert(found != m_accounts.end() && "request was not added");
     --m_size;
     if (--found->second == 0) {
         m_accounts.erase(found);
--- a/lib/Kernel/queuepace.cpp
+++ b/lib/Kernel/queuepace.cpp
@@ -1,4 +1,4 @@
-//===- queuepace.cpp - How fast a queue moves -----------------------------===//
+//===- queuepace.cpp - Dispatch rate of a queue ---------------------------===//
 
 #include "harelink/Kernel/queuepace.h"
 
@@ -9,13 +9,14 @@
 namespace harelink {
 namespace {
 
-/// Share by which one dispatch moves the smoothed interval.
-constexpr double smoothing = 0.2;
-/// So long a pool of which nobody can be reached is taken to be restarting: its queue
-/// is expected to move on as before. Later it is taken to stand still.
-constexpr std::chrono::seconds restartAllowance{5};
-/// An endpoint that could not be reached is asked again sooner than this while requests wait.
-constexpr std::chrono::seconds unreachableMemory{1};
+/// Weight of a sample in the smoothed interval.
+constexpr double smoothingFactor = 0.2;
+/// A pool with no reachable endpoint is assumed to be restarting for this period: its queue is
+/// expected to resume at the earlier rate. After that, it is assumed to be stalled.
+constexpr std::chrono::seconds restartPeriod{5};
+/// How long a failure to reach any endpoint counts. While requests wait, an unreachable endpoint
+/// is retried sooner than this.
+constexpr std::chrono::seconds unreachableTtl{1};
 
 } // namespace
 
@@ -30,7 +31,7 @@
     if (m_sampleFrom) {
         const Duration before = decayedEstimate(m_smoothed, now - m_sampledAt);
         const std::chrono::duration<double> difference = now - *m_sampleFrom - before;
-        m_smoothed = before + std::chrono::duration_cast<Duration>(difference * smoothing);
+        m_smoothed = before + std::chrono::duration_cast<Duration>(difference * smoothingFactor);
         m_sampledAt = now;
     }
     m_sampleFrom = now;
@@ -56,7 +57,7 @@
 
 std::optional<Duration> QueuePace::unreachableFor(TimePoint now) const
 {
-    if (!m_unreachableSince || now - m_unreachableSeen > unreachableMemory) {
+    if (!m_unreachableSince || now - m_unreachableSeen > unreachableTtl) {
         return std::nullopt;
     }
     return now - *m_unreachableSince;
@@ -64,11 +65,11 @@
 
 Duration QueuePace::interval(TimePoint now, bool isWaiting) const
 {
-    const Duration usual = decayedEstimate(m_smoothed, now - m_sampledAt);
+    const Duration estimate = decayedEstimate(m_smoothed, now - m_sampledAt);
     if (const std::optional<Duration> unreachable = unreachableFor(now)) {
-        return *unreachable < restartAllowance ? usual : std::max(usual, *unreachable);
+        return *unreachable < restartPeriod ? estimate : std::max(estimate, *unreachable);
     }
-    return isWaiting ? std::max(usual, now - m_movedAt) : usual;
+    return isWaiting ? std::max(estimate, now - m_movedAt) : estimate;
 }
 
 } // namespace harelink
--- a/lib/Kernel/rateshares.cpp
+++ b/lib/Kernel/rateshares.cpp
@@ -1,4 +1,4 @@
-//===- rateshares.cpp - Parts of a stated rate ----------------------------===//
+//===- rateshares.cpp - Shares of a rate limit ----------------------------===//
 
 #include "harelink/Kernel/rateshares.h"
 
@@ -12,35 +12,38 @@
 namespace harelink {
 namespace {
 
-/// Spacing of the sends of one host that are to fall into different windows: the window, and
-/// what the network may delay the first of them.
+/// Interval at which two sends of one host fall into different windows: the window plus the
+/// network delay of the first send.
 constexpr std::chrono::duration<double> paddedWindow{4.4};
-/// Requests per second with which all hosts together ask whether a limit still stands, where
-/// it gives them no other turn.
-constexpr double askingRate = 0.1;
-/// Turns to ask are lost when unused: or, after a quiet time, all hosts would ask at once.
-constexpr std::chrono::seconds askingTurn{1};
-/// Hosts that are drawn are this many standard deviations fewer, in the mean, than the
-/// tolerance has places.
-constexpr double drawnDeviations = 7;
-/// Part of the rate that a batcher uses: while another host takes over, both send.
-constexpr double batcherPart = 0.7;
-/// Interval of a daemon that has no part yet.
+/// Requests per second, of all hosts together, that re-check whether a limit is still in force if
+/// the limit leaves no other send slot.
+constexpr double recheckRate = 0.1;
+/// Send slots for re-checks expire if unused; otherwise all hosts would send at once after an idle
+/// period.
+constexpr std::chrono::seconds recheckSlotLength{1};
+/// The mean number of selected hosts is this many standard deviations below the number that the
+/// tolerance allows.
+constexpr double selectionDeviations = 7;
+/// Fraction of the rate that a batcher uses, because two hosts send while one takes over from the
+/// other.
+constexpr double batcherRateFraction = 0.7;
+/// Send interval of a daemon that has no share yet.
 constexpr std::chrono::hours noShareInterval{1};
-/// Intervals that differ by a smaller part are taken for the same.
-constexpr std::int64_t sameIntervalPart = 4;
+/// Intervals that differ by at most the earlier one divided by this are treated as equal.
+constexpr std::int64_t sameIntervalDivisor = 4;
 
 Duration fromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/// How many hosts may be drawn in the mean, of which \p places may send in a window.
-double meanDrawn(double places)
+/// Returns how many hosts may be selected on average if at most \p allowance may send in a window.
+double maxMeanSelected(double allowance)
 {
-    // The larger root of m + d * sqrt(m) = places; the variance is at most the mean.
+    // The larger root of m + d * sqrt(m) = allowance; the variance is at most the mean.
     const double root =
-        (std::sqrt(drawnDeviations * drawnDeviations + 4 * places) - drawnDeviations) / 2;
+        (std::sqrt(selectionDeviations * selectionDeviations + 4 * allowance) - selectionDeviations)
+        / 2;
     return root * root;
 }
 
@@ -68,28 +71,28 @@
         return std::nullopt;
     }
     return computeShare(endpoint, perSecond,
-                        std::ceil(m_knownHosts / m_reachableHosts) / batcherPart);
+                        std::ceil(m_knownHosts / m_reachableHosts) / batcherRateFraction);
 }
 
 RateShare RateShares::computeShare(const std::string &endpoint, double perSecond,
                                    double senders) const
 {
-    const double rate = std::max(perSecond, askingRate);
-    const double places = RateTolerance::requests(perSecond);
-    const double sendsEach = std::floor(places / senders);
+    const double rate = std::max(perSecond, recheckRate);
+    const double allowance = RateTolerance::requests(perSecond);
+    const double sendsEach = std::floor(allowance / senders);
     if (sendsEach >= 1) {
         const double interval = std::max(senders / rate, paddedWindow.count() / sendsEach);
         return {fromSeconds(interval), Duration::zero(), Duration::zero()};
     }
-    const double drawn = std::min(meanDrawn(places), perSecond * paddedWindow.count());
+    const double selected = std::min(maxMeanSelected(allowance), perSecond * paddedWindow.count());
     const double sample = unitHash(fmt::format("rate/{}/{}", endpoint, m_self));
-    const double chance = drawn / senders;
-    if (sample < chance) {
+    const double probability = selected / senders;
+    if (sample < probability) {
         return {fromSeconds(paddedWindow.count()), Duration::zero(), Duration::zero()};
     }
-    const double interval = senders / askingRate;
-    const double phase = (sample - chance) / (1 - chance);
-    return {fromSeconds(interval), fromSeconds(interval * phase), askingTurn};
+    const double interval = senders / recheckRate;
+    const double phase = (sample - probability) / (1 - probability);
+    return {fromSeconds(interval), fromSeconds(interval * phase), recheckSlotLength};
 }
 
 void applyLimit(const Snapshot &snapshot, const std::string &name,
@@ -113,7 +116,7 @@
     const Duration firstDelay = share ? share->firstDelay : interval;
     const std::int64_t before = load.sendInterval.load(std::memory_order_relaxed);
     const std::int64_t next = std::chrono::nanoseconds(interval).count();
-    if (before != 0 && std::abs(next - before) <= before / sameIntervalPart) {
+    if (before != 0 && std::abs(next - before) <= before / sameIntervalDivisor) {
         return;
     }
     const std::int64_t afterLast = load.sentAt.load(std::memory_order_relaxed) + next;
--- a/lib/Kernel/routing.cpp
+++ b/lib/Kernel/routing.cpp
@@ -1,4 +1,4 @@
-//===- routing.cpp - Endpoint health and limits ---------------------------===//
+//===- routing.cpp - Endpoint selection -----------------------------------===//
 
 #include "harelink/Kernel/routing.h"
 
@@ -11,29 +11,29 @@
 
 using std::chrono::milliseconds;
 
-/// Failures in a row that eject an endpoint.
+/// Consecutive failures that eject an endpoint.
 constexpr int failuresToEject = 3;
-/// The first ejection's length; each further failure doubles it.
+/// Duration of the first ejection; each further failure doubles it.
 constexpr milliseconds firstEjection{200};
-constexpr milliseconds longestEjection{10'000};
-/// The longest after connections that were refused: asking again costs next to nothing.
-constexpr milliseconds longestUnreachable{400};
-/// A call given up on counts against its endpoint from this many usual times on.
-constexpr int slowCalls = 2;
-/// After a refusal an endpoint is taken to be full for this part of a call's time,
-/// within bounds.
-constexpr int fullShare = 4;
-constexpr milliseconds leastFullTime{2};
-constexpr milliseconds mostFullTime{250};
-/// A smoothed latency moves by this part of the difference.
-constexpr std::int64_t smoothing = 8;
-/// At most this part of a pool is ejected at once.
-constexpr std::size_t ejectableShare = 2;
+constexpr milliseconds maxEjection{10'000};
+/// Maximum ejection after refused connections, since another attempt is cheap.
+constexpr milliseconds maxUnreachableEjection{400};
+/// An abandoned call counts as a failure if it took longer than this multiple of the usual time.
+constexpr int slowCallFactor = 2;
+/// After a refusal, an endpoint is assumed to be full for the latency of a call divided by this,
+/// clamped to minFullTime and maxFullTime.
+constexpr int fullTimeDivisor = 4;
+constexpr milliseconds minFullTime{2};
+constexpr milliseconds maxFullTime{250};
+/// A sample moves the smoothed latency by the difference divided by this.
+constexpr std::int64_t smoothingDivisor = 8;
+/// At most the size of a pool divided by this is ejected at once.
+constexpr std::size_t ejectablePoolDivisor = 2;
 
 Duration fullTime(const EndpointLoad &load)
 {
     const std::chrono::microseconds call(load.latencyMicros.load(std::memory_order_relaxed));
-    return std::clamp<Duration>(call / fullShare, leastFullTime, mostFullTime);
+    return std::clamp<Duration>(call / fullTimeDivisor, minFullTime, maxFullTime);
 }
 
 bool isEjected(const EndpointEntry &entry, TimePoint now)
@@ -49,10 +49,10 @@
             ++ejected;
         }
     }
-    return ejected * ejectableShare <= pool.endpoints.size();
+    return ejected * ejectablePoolDivisor <= pool.endpoints.size();
 }
 
-Duration ejectionAfter(int failures, milliseconds longest)
+Duration ejectionTime(int failures, milliseconds longest)
 {
     milliseconds length = firstEjection;
     for (int i = failuresToEject; i < failures && length < longest; ++i) {
@@ -65,11 +65,11 @@
 {
     const auto sample = std::chrono::duration_cast<std::chrono::microseconds>(elapsed).count();
     const std::int64_t before = load.latencyMicros.load(std::memory_order_relaxed);
-    const std::int64_t after = before == 0 ? sample : before + (sample - before) / smoothing;
+    const std::int64_t after = before == 0 ? sample : before + (sample - before) / smoothingDivisor;
     load.latencyMicros.store(std::max<std::int64_t>(after, 1), std::memory_order_relaxed);
 }
 
-/// The begin of the turn that this daemon has at \p now, or of its next one.
+/// Returns the start of this daemon's current send slot, or of the next one.
 std::int64_t sendSlotAt(const EndpointLoad &load, std::int64_t now)
 {
     const std::int64_t next = load.nextSendAt.load(std::memory_order_relaxed);
@@ -83,16 +83,18 @@
     return now < begin + length ? begin : begin + interval;
 }
 
-/// When \p entry next takes a request of this daemon, as far as is known.
+/// Returns when \p entry is next expected to accept a request of this daemon.
 TimePoint nextAvailableAt(const EndpointEntry &entry, TimePoint now)
 {
     const EndpointLoad &load = *entry.load;
-    TimePoint opens = std::max(availableAt(entry, now),
-                               fromSteadyNanos(load.ejectedUntil.load(std::memory_order_relaxed)));
+    TimePoint available =
+        std::max(availableAt(entry, now),
+                 fromSteadyNanos(load.ejectedUntil.load(std::memory_order_relaxed)));
     if (isCold(entry, now) && !maySendWhileCold(entry, now)) {
-        opens = std::max(opens, fromSteadyNanos(load.coldUntil.load(std::memory_order_relaxed)));
+        available =
+            std::max(available, fromSteadyNanos(load.coldUntil.load(std::memory_order_relaxed)));
     }
-    return opens;
+    return available;
 }
 
 void lowerLimit(EndpointLoad &load)
@@ -117,7 +119,7 @@
     if (load.sendInterval.load(std::memory_order_relaxed) == 0) {
         return resumes;
     }
-    // A turn may pass while the endpoint is paused.
+    // A send slot may expire while the endpoint is paused.
     return std::max(resumes, fromSteadyNanos(sendSlotAt(load, steadyNanos(resumes))));
 }
 
@@ -129,10 +131,10 @@
         return availableAt(entry, now) <= now;
     }
     std::int64_t known = load.nextSendAt.load(std::memory_order_relaxed);
-    const std::int64_t turn = sendSlotAt(load, steadyNanos(now));
-    // Turns that are never lost leave an interval between sends, others come at fixed times.
-    const bool isLost = load.slotLength.load(std::memory_order_relaxed) > 0;
-    const std::int64_t next = (isLost ? turn : steadyNanos(now)) + interval;
+    const std::int64_t slot = sendSlotAt(load, steadyNanos(now));
+    // Slots that never expire keep an interval between sends; the others are at fixed times.
+    const bool expires = load.slotLength.load(std::memory_order_relaxed) > 0;
+    const std::int64_t next = (expires ? slot : steadyNanos(now)) + interval;
     return availableAt(entry, now) <= now
            && load.nextSendAt.compare_exchange_strong(known, next, std::memory_order_relaxed);
 }
@@ -146,12 +148,12 @@
         if (!mayServe(entry, regions)) {
             continue;
         }
-        const TimePoint opens = nextAvailableAt(entry, now);
-        if (opens <= now) {
+        const TimePoint available = nextAvailableAt(entry, now);
+        if (available <= now) {
             return std::nullopt;
         }
         isLimited = isLimited || availableAt(entry, now) > now;
-        first = std::min(first.value_or(opens), opens);
+        first = std::min(first.value_or(available), available);
     }
     return isLimited ? first : std::nullopt;
 }
@@ -159,19 +161,20 @@
 std::size_t sendSlotsUntil(const PoolEntry &pool, const RegionLimit &regions, TimePoint now,
                            TimePoint until)
 {
-    std::size_t turns = 0;
+    std::size_t sendSlots = 0;
     for (const EndpointEntry &entry : pool.endpoints) {
-        const TimePoint opens = nextAvailableAt(entry, now);
-        if (!mayServe(entry, regions) || opens > until) {
+        const TimePoint available = nextAvailableAt(entry, now);
+        if (!mayServe(entry, regions) || available > until) {
             continue;
         }
         const std::int64_t interval = entry.load->sendInterval.load(std::memory_order_relaxed);
-        turns += interval == 0 ? static_cast<std::size_t>(std::max(1, entry.spec.slots))
-                               : 1
-                                     + static_cast<std::size_t>(
-                                         (until - opens) / std::chrono::nanoseconds(interval));
+        sendSlots += interval == 0
+                         ? static_cast<std::size_t>(std::max(1, entry.spec.slots))
+                         : 1
+                               + static_cast<std::size_t>((until - available)
+                                                          / std::chrono::nanoseconds(interval));
     }
-    return turns;
+    return sendSlots;
 }
 
 bool isOnProbation(const EndpointEntry &entry)
@@ -194,7 +197,7 @@
         return false;
     }
     const int inFlight = load.inFlight.load(std::memory_order_relaxed);
-    // After an ejection one call at a time probes whether the endpoint is back.
+    // After an ejection, one call at a time probes whether the endpoint has recovered.
     if (isOnProbation(entry)) {
         return inFlight == 0;
     }
@@ -221,8 +224,9 @@
     if (load.inFlight.load(std::memory_order_relaxed) == 0) {
         return usual;
     }
-    const std::int64_t silent = steadyNanos(now) - load.progressAt.load(std::memory_order_relaxed);
-    return std::max<Duration>(usual, std::chrono::nanoseconds(silent));
+    const std::int64_t sinceProgress =
+        steadyNanos(now) - load.progressAt.load(std::memory_order_relaxed);
+    return std::max<Duration>(usual, std::chrono::nanoseconds(sinceProgress));
 }
 
 std::uint64_t uncachedTokens(const PromptInfo &prompt, bool isPreferred)
@@ -283,8 +287,8 @@
 {
     EndpointLoad &load = *entry.load;
     if (evidence == SendEvidence::RefusedBeforeRun) {
-        // It is well but full: others send to it too, so take a smaller part, and
-        // ask again only when a call has had time to end.
+        // The endpoint is healthy but full, since other daemons send to it too: lower the
+        // concurrency limit, and retry only after a call has had time to finish.
         lowerLimit(load);
         load.fullUntil.store(steadyNanos(now + fullTime(load)), std::memory_order_relaxed);
         return;
@@ -293,14 +297,15 @@
     if (failures < failuresToEject) {
         return;
     }
-    // Nobody is there: no share of the pool has to be kept for fear of a wrong verdict.
+    // Ejecting an endpoint that cannot be reached costs no capacity, so the limit on ejected
+    // endpoints does not apply.
     const bool unreachable = evidence == SendEvidence::NothingSent;
     if (!unreachable && !mayEject(pool, entry, now)) {
         load.failures.store(failuresToEject - 1, std::memory_order_relaxed);
         return;
     }
     const Duration length =
-        ejectionAfter(failures, unreachable ? longestUnreachable : longestEjection);
+        ejectionTime(failures, unreachable ? maxUnreachableEjection : maxEjection);
     load.ejectedUntil.store(steadyNanos(now + length), std::memory_order_relaxed);
 }
 
@@ -308,7 +313,7 @@
                          Duration usual, TimePoint now)
 {
     addLatency(*entry.load, elapsed);
-    if (elapsed > usual * slowCalls) {
+    if (elapsed > usual * slowCallFactor) {
         recordFailure(pool, entry, SendEvidence::Sent, now);
     }
 }
--- a/lib/Kernel/slotshares.cpp
+++ b/lib/Kernel/slotshares.cpp
@@ -1,4 +1,4 @@
-//===- slotshares.cpp - Slots of a pool by account ------------------------===//
+//===- slotshares.cpp - Slot shares of accounts ---------------------------===//
 
 #include "harelink/Kernel/slotshares.h"
 
@@ -12,10 +12,11 @@
 namespace harelink {
 namespace {
 
-/// A division is used this long.
-constexpr std::chrono::milliseconds divisionLife{10};
-/// Calls in flight for each slot, so that an endpoint has its next call at hand. At
-/// 1.1 engines under a flood were used 82%, from 1.4 on 90%; at 1.7 victims lose more.
+/// Minimum time between two computations of the shares.
+constexpr std::chrono::milliseconds updateInterval{10};
+/// Calls in flight per slot, so that an endpoint has its next call queued. Under overload, values
+/// below 1.4 leave engines idle between calls (82% utilization at 1.1, 90% from 1.4); 1.7 takes
+/// more from the other accounts.
 constexpr double callsPerSlot = 1.5;
 
 struct Demand
@@ -54,8 +55,8 @@
 {
     int slots = 0;
     for (const EndpointEntry &endpoint : pool.endpoints) {
-        const bool works = isUsable(endpoint, now) && !isOnProbation(endpoint);
-        slots += works ? endpoint.spec.slots : 0;
+        const bool isServing = isUsable(endpoint, now) && !isOnProbation(endpoint);
+        slots += isServing ? endpoint.spec.slots : 0;
     }
     return slots;
 }
@@ -64,7 +65,7 @@
 
 void SlotShares::update(const Snapshot &snapshot, const PoolEntry &pool, TimePoint now)
 {
-    if (m_updatedAt != TimePoint::min() && now - m_updatedAt < divisionLife) {
+    if (m_updatedAt != TimePoint::min() && now - m_updatedAt < updateInterval) {
         return;
     }
     m_updatedAt = now;
@@ -80,7 +81,7 @@
     for (const Demand &demand : demands) {
         weightsLeft += demand.weight;
     }
-    // Those that want least for their weight get all they want, in turn.
+    // Accounts with the least demand for their weight come first and get all that they need.
     for (const Demand &demand : demands) {
         m_level = slotsLeft / weightsLeft;
         if (demand.perWeight() > m_level) {
--- a/lib/Kernel/snapshot.cpp
+++ b/lib/Kernel/snapshot.cpp
@@ -1,4 +1,4 @@
-//===- snapshot.cpp - Configuration in force ------------------------------===//
+//===- snapshot.cpp - Active configuration --------------------------------===//
 
 #include "harelink/Kernel/snapshot.h"
 
@@ -12,12 +12,12 @@
 namespace harelink {
 namespace {
 
-/// An endpoint's points on the ring of prompts: more spread them more evenly.
+/// Points per endpoint on the prompt ring; more points balance the prompts better.
 constexpr std::uint64_t ringPoints = 64;
-/// A pool that works in pieces is divided by data centre from so many endpoints on: one
-/// batcher for all of them would have more than a small host's processor takes, and of
-/// fewer endpoints the parts would be too uneven. docs/DESIGN.md has the figures.
-constexpr std::size_t leastDividedEndpoints = 9;
+/// Minimum number of endpoints for which a pool that works in pieces is partitioned by data
+/// centre. One batcher for a larger pool would overload the CPU of a small host; with fewer
+/// endpoints, the partitions would be too uneven. docs/DESIGN.md has the measurements.
+constexpr std::size_t minPartitionedEndpoints = 9;
 
 template <typename Map>
 const typename Map::mapped_type *findIn(const Map &map, const std::string &name)
@@ -26,7 +26,7 @@
     return found == map.end() ? nullptr : &found->second;
 }
 
-/// Adds one resource after another to a snapshot.
+/// Builds a snapshot from resources.
 class Builder
 {
 public:
@@ -71,18 +71,18 @@
     void finish(const std::string &dataCentre)
     {
         m_snapshot.dataCentre = dataCentre;
-        placeEndpoints(dataCentre);
+        addEndpoints(dataCentre);
         for (auto &[host, prefixes] : m_snapshot.routes) {
             std::sort(prefixes.begin(), prefixes.end(),
                       [](const auto &a, const auto &b) { return a.first.size() > b.first.size(); });
         }
         for (auto &[name, account] : m_snapshot.accounts) {
-            placeLoads(name, account);
+            attachAccountLoads(name, account);
         }
     }
 
 private:
-    void placeEndpoints(const std::string &dataCentre)
+    void addEndpoints(const std::string &dataCentre)
     {
         const auto isLocal = [&dataCentre](const EndpointSpec &spec) {
             return spec.dataCentre == dataCentre;
@@ -109,57 +109,59 @@
         }
         for (auto &[name, pool] : m_snapshot.pools) {
             if (pool.spec.keepsPrompts) {
-                placeRing(pool);
+                buildPromptRing(pool);
             }
             if (pool.spec.pieces) {
-                placePieceLoad(name, pool);
-                divide(name, pool);
+                attachPieceLoad(name, pool);
+                createPartitions(name, pool);
             }
         }
     }
 
-    void placePieceLoad(const std::string &name, PoolEntry &pool) const
+    void attachPieceLoad(const std::string &name, PoolEntry &pool) const
     {
         const PoolEntry *before =
             m_previous == nullptr ? nullptr : m_previous->poolOrPartition(name);
-        const bool isKept = before != nullptr && before->pieceLoad != nullptr;
-        pool.pieceLoad = isKept ? before->pieceLoad : std::make_shared<PieceLoad>();
+        const bool isReused = before != nullptr && before->pieceLoad != nullptr;
+        pool.pieceLoad = isReused ? before->pieceLoad : std::make_shared<PieceLoad>();
     }
 
-    /// Makes the parts of a large pool.
-    void divide(const std::string &name, PoolEntry &pool)
+    /// Creates the partitions of a large pool.
+    void createPartitions(const std::string &name, PoolEntry &pool)
     {
-        if (pool.endpoints.size() < leastDividedEndpoints) {
+        if (pool.endpoints.size() < minPartitionedEndpoints) {
             return;
         }
-        std::map<std::string, PoolEntry> parts;
+        std::map<std::string, PoolEntry> partitions;
         for (const EndpointEntry &endpoint : pool.endpoints) {
-            PoolEntry &part = parts[endpoint.spec.dataCentre];
-            part.endpoints.push_back(endpoint);
-            part.totalSlots += endpoint.isDrained ? 0 : endpoint.spec.slots;
+            PoolEntry &partition = partitions[endpoint.spec.dataCentre];
+            partition.endpoints.push_back(endpoint);
+            partition.totalSlots += endpoint.isDrained ? 0 : endpoint.spec.slots;
         }
-        if (parts.size() < 2) {
+        if (partitions.size() < 2) {
             return;
         }
-        for (auto &[dataCentre, part] : parts) {
-            const std::string partName = fmt::format("{}/{}", name, dataCentre);
-            part.spec = pool.spec;
-            part.dataCentre = dataCentre;
-            part.localCount = dataCentre == m_snapshot.dataCentre ? part.endpoints.size() : 0;
-            placePieceLoad(partName, part);
-            pool.partitions.push_back(partName);
-            m_snapshot.poolPartitions[partName] = std::move(part);
+        for (auto &[dataCentre, partition] : partitions) {
+            const std::string partitionName = fmt::format("{}/{}", name, dataCentre);
+            partition.spec = pool.spec;
+            partition.dataCentre = dataCentre;
+            partition.localCount =
+                dataCentre == m_snapshot.dataCentre ? partition.endpoints.size() : 0;
+            attachPieceLoad(partitionName, partition);
+            pool.partitions.push_back(partitionName);
+            m_snapshot.poolPartitions[partitionName] = std::move(partition);
         }
     }
 
-    static void placeRing(PoolEntry &pool)
+    static void buildPromptRing(PoolEntry &pool)
     {
         for (std::size_t i = 0; i < pool.endpoints.size(); ++i) {
             if (pool.endpoints[i].isDrained) {
                 continue;
             }
             for (std::uint64_t point = 0; point < ringPoints; ++point) {
-                // An endpoint that starts again gets the prompts that it had: nobody else's move.
+                // The name survives a restart, so that a restarted endpoint gets its prompts back
+                // and no other prompt moves.
                 const std::string &name = pool.endpoints[i].spec.lastingName();
                 pool.promptRing.emplace_back(hash64(name, point), i);
             }
@@ -171,7 +173,8 @@
     {
         const PoolEntry *pool = m_previous == nullptr ? nullptr : m_previous->pool(spec.pool);
         const EndpointEntry *before = pool == nullptr ? nullptr : pool->find(spec.name);
-        // Another address is another endpoint: what was learnt does not hold for it.
+        // A different address means a different endpoint, to which the recorded load does not
+        // apply.
         if (before != nullptr && before->spec.address == spec.address
             && before->spec.slots == spec.slots) {
             return before->load;
@@ -181,7 +184,7 @@
         return load;
     }
 
-    void placeLoads(const std::string &name, AccountEntry &account) const
+    void attachAccountLoads(const std::string &name, AccountEntry &account) const
     {
         const AccountEntry *before = m_previous == nullptr ? nullptr : m_previous->account(name);
         for (const auto &[pool, entry] : m_snapshot.pools) {
@@ -201,7 +204,7 @@
 
 const EndpointEntry *PoolEntry::find(const std::string &name) const
 {
-    // Two sorted runs: the own data centre's endpoints, then the others.
+    // The endpoints are sorted in two runs: those of the own data centre, then the others.
     const auto byName = [](const EndpointEntry &entry, const std::string &wanted) {
         return entry.spec.name < wanted;
     };
@@ -269,8 +272,8 @@
 
 const PoolEntry *Snapshot::poolOrPartition(const std::string &name) const
 {
-    const PoolEntry *part = findIn(poolPartitions, name);
-    return part != nullptr ? part : pool(name);
+    const PoolEntry *partition = findIn(poolPartitions, name);
+    return partition != nullptr ? partition : pool(name);
 }
 
 const PipelineSpec *Snapshot::route(const std::string &host, const std::string &path) const
--- a/lib/Plugins/routingpolicies.cpp
+++ b/lib/Plugins/routingpolicies.cpp
@@ -1,8 +1,9 @@
-//===- routingpolicies.cpp - Routing plug-ins -----------------------------===//
+//===- routingpolicies.cpp - Routing policies -----------------------------===//
 ///
 /// \file
-/// "power-of-two" is the product's choice; "round-robin" and "least-in-flight"
-/// are the baselines that it is measured against.
+/// "power-of-two" is the policy for production; "round-robin" and
+/// "least-in-flight" are baselines for measurements. "prompt-home" prefers the
+/// engine that has the prefix of a prompt cached.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,14 +15,14 @@
 namespace harelink {
 namespace {
 
-/// Random draws from the own data centre, and as many from all.
-constexpr int drawsEach = 2;
-/// Share of a call's time that a cached prefix is taken to save.
-constexpr double prefixSaving = 0.5;
-/// What a call to another data centre costs, as time.
-constexpr double crossingMicros = 1000;
+/// Random samples from the own data centre, and the same number from all.
+constexpr int samplesEach = 2;
+/// Fraction of a call's latency that a cached prefix is assumed to save.
+constexpr double cachedPrefixSaving = 0.5;
+/// Latency penalty of a call to another data centre.
+constexpr double crossDataCentreMicros = 1000;
 
-/// The time until a new call to \p entry would be answered, in microseconds.
+/// Returns the predicted latency of a new call to \p entry in microseconds.
 double predictedMicros(const EndpointEntry &entry, TimePoint now)
 {
     const EndpointLoad &load = *entry.load;
@@ -33,7 +34,7 @@
     return (latency + 1) * (1 + queueing);
 }
 
-/// The first eligible endpoint in [begin, end), searching from a random place.
+/// Returns the first eligible endpoint in [begin, end), searching from a random start, or null.
 const EndpointEntry *firstEligible(const RoutingQuery &query, std::size_t begin, std::size_t end,
                                    Random &random)
 {
@@ -51,16 +52,16 @@
     return nullptr;
 }
 
-/// The endpoint that \p query avoids, if it is all that is left.
+/// Returns the endpoint that \p query avoids if it is eligible, else null.
 const EndpointEntry *lastResort(const RoutingQuery &query)
 {
     const bool usable = query.avoid != nullptr && isEligible(*query.avoid, query);
     return usable ? query.avoid : nullptr;
 }
 
-/// Takes the best of a few random endpoints, some of them from the own data centre,
-/// and of the one where the prompt's prefix is kept. A crossing between data centres
-/// and a kept prefix count as time.
+/// Selects the best of a few random endpoints, some of them from the own data centre, and of the
+/// preferred endpoint of the prompt. The predicted latency includes a penalty for another data
+/// centre and the saving by a cached prefix.
 class PowerOfTwo final : public RoutingPolicy
 {
 public:
@@ -73,9 +74,9 @@
             && isEligible(*query.preferred, query)) {
             best.consider(query.preferred);
         }
-        for (int i = 0; i < drawsEach; ++i) {
-            best.consider(draw(query, local, random));
-            best.consider(draw(query, all, random));
+        for (int i = 0; i < samplesEach; ++i) {
+            best.consider(sample(query, local, random));
+            best.consider(sample(query, all, random));
         }
         if (best.entry() == nullptr) {
             best.consider(firstEligible(query, 0, local, random));
@@ -85,7 +86,7 @@
     }
 
 private:
-    /// The best of the endpoints that were considered.
+    /// Tracks the best of the considered endpoints.
     class Best
     {
     public:
@@ -111,8 +112,10 @@
         {
             const double time = predictedMicros(entry, m_query.now);
             const auto index = static_cast<std::size_t>(&entry - m_query.pool.endpoints.data());
-            const double crossing = index < m_query.pool.localCount ? 0 : crossingMicros;
-            return crossing + (&entry == m_query.preferred ? time * (1 - prefixSaving) : time);
+            const double transferPenalty =
+                index < m_query.pool.localCount ? 0 : crossDataCentreMicros;
+            return transferPenalty
+                   + (&entry == m_query.preferred ? time * (1 - cachedPrefixSaving) : time);
         }
 
         const RoutingQuery &m_query;
@@ -120,8 +123,8 @@
         double m_time = 0;
     };
 
-    /// A random one of the first \p count endpoints, if it is eligible.
-    static const EndpointEntry *draw(const RoutingQuery &query, std::size_t count, Random &random)
+    /// Returns a random one of the first \p count endpoints if it is eligible, else null.
+    static const EndpointEntry *sample(const RoutingQuery &query, std::size_t count, Random &random)
     {
         if (count == 0) {
             return nullptr;
@@ -131,39 +134,43 @@
     }
 };
 
-/// Sends a prompt to the one engine that has likely read its shared parts before, unless
-/// that would miss its objective and another would not. Whatever is no prompt goes by
-/// PowerOfTwo.
+/// Sends a prompt to the engine that likely has its prefix cached, unless that engine would miss
+/// the objective and another one would not. Uses PowerOfTwo for requests without a prompt.
 ///
-/// One home for all data centres: three homes, one in each, would read each shared part
-/// three times, which users pay for, and spread too few prompts over too many caches.
-class PromptHome final : public RoutingPolicy
+/// A prompt has one preferred engine in all data centres. One in each of three data centres would
+/// prefill each shared prefix three times, at the users' cost, and spread too few prompts over
+/// too many caches.
+class CacheAffinity final : public RoutingPolicy
 {
 public:
     const EndpointEntry *choose(const RoutingQuery &query, Random &random) override
     {
         if (query.prompt == nullptr) {
-            return m_others.choose(query, random);
+            return m_fallback.choose(query, random);
         }
         const PromptInfo &prompt = *query.prompt;
-        const bool homeCan = query.preferred != nullptr && query.preferred != query.avoid
-                             && isEligible(*query.preferred, query);
-        if (homeCan && prefillTime(*query.preferred, prompt, true) < prompt.slack * homePatience) {
+        const bool isPreferredEligible = query.preferred != nullptr
+                                         && query.preferred != query.avoid
+                                         && isEligible(*query.preferred, query);
+        if (isPreferredEligible
+            && prefillTime(*query.preferred, prompt, true)
+                   < prompt.slack * preferredSlackFraction) {
             return query.preferred;
         }
-        const EndpointEntry *best = homeCan ? query.preferred : nullptr;
-        Duration bestTime = homeCan ? prefillTime(*query.preferred, prompt, true) : Duration::max();
+        const EndpointEntry *best = isPreferredEligible ? query.preferred : nullptr;
+        Duration bestTime =
+            isPreferredEligible ? prefillTime(*query.preferred, prompt, true) : Duration::max();
         for (const EndpointEntry &entry : query.pool.endpoints) {
             if (&entry == query.preferred || &entry == query.avoid || !isEligible(entry, query)) {
                 continue;
             }
-            const bool crosses =
+            const bool isRemote =
                 !prompt.dataCentre.empty() && prompt.dataCentre != entry.spec.dataCentre;
             const double megabytes = static_cast<double>(prompt.inputBytes) / bytesPerMegabyte;
             const Duration time = prefillTime(entry, prompt, false)
-                                  + std::chrono::duration_cast<Duration>(spread * random.unit())
+                                  + std::chrono::duration_cast<Duration>(jitter * random.unit())
                                   + std::chrono::duration_cast<Duration>(
-                                      crossingPerMegabyte * (crosses ? megabytes : 0));
+                                      transferTimePerMegabyte * (isRemote ? megabytes : 0));
             if (time < bestTime) {
                 best = &entry;
                 bestTime = time;
@@ -173,19 +180,20 @@
     }
 
 private:
-    /// The part of the time until the objective that waiting at the home may take.
-    static constexpr double homePatience = 0.7;
-    /// Daemons with the same view must not all choose the same engine.
-    static constexpr std::chrono::milliseconds spread{20};
-    /// What a megabyte of inputs from another data centre counts as, in time; as where
-    /// their pieces are placed.
-    static constexpr std::chrono::microseconds crossingPerMegabyte{33'000};
+    /// Fraction of the time until the objective that prefill at the preferred engine may take.
+    static constexpr double preferredSlackFraction = 0.7;
+    /// Range of the random addition to predicted times, so that daemons with the same state do not
+    /// all select the same engine.
+    static constexpr std::chrono::milliseconds jitter{20};
+    /// Time penalty per megabyte of inputs from another data centre; the same as for the
+    /// placement of their pieces.
+    static constexpr std::chrono::microseconds transferTimePerMegabyte{33'000};
     static constexpr double bytesPerMegabyte = 1e6;
 
-    PowerOfTwo m_others;
+    PowerOfTwo m_fallback;
 };
 
-/// Baseline: each endpoint in turn.
+/// Baseline: the endpoints in order.
 class RoundRobin final : public RoutingPolicy
 {
 public:
@@ -205,7 +213,7 @@
     std::size_t m_next = 0;
 };
 
-/// Baseline: the endpoint with the fewest own calls in progress.
+/// Baseline: the endpoint with the fewest calls of this daemon in flight.
 class LeastInFlight final : public RoutingPolicy
 {
 public:
@@ -228,7 +236,7 @@
 };
 
 const Registration<RoutingPolicy, PowerOfTwo> powerOfTwo("power-of-two");
-const Registration<RoutingPolicy, PromptHome> promptHome("prompt-home");
+const Registration<RoutingPolicy, CacheAffinity> cacheAffinity("prompt-home");
 const Registration<RoutingPolicy, RoundRobin> roundRobin("round-robin");
 const Registration<RoutingPolicy, LeastInFlight> leastInFlight("least-in-flight");
 
