--- a/unittests/Kernel/piecebatchertest.cpp
+++ b/unittests/Kernel/piecebatchertest.cpp
@@ -1,4 +1,4 @@
-//===- piecebatchertest.cpp - Tests of calls of many pieces ---------------===//
+//===- piecebatchertest.cpp - Tests of the batching of pieces -------------===//
 
 #include "piecefixture.h"
 
@@ -14,13 +14,13 @@
 
 namespace {
 
-struct Bench
+struct Fixture
 {
-    explicit Bench(std::uint32_t batch = 4, int endpoints = 1)
+    explicit Fixture(std::uint32_t batch = 4, int endpoints = 1)
         : snapshot(buildSnapshot(pieceConfiguration(endpoints, batch), 1, "dc1", nullptr))
     {
     }
-    void order(std::uint64_t sequence, const std::string &host = "", int priority = 0)
+    void submit(std::uint64_t sequence, const std::string &host = "", int priority = 0)
     {
         batcher.handle(host, {"pieces", {pieceOrder(sequence, 0, priority)}}, *snapshot);
         collect();
@@ -66,7 +66,7 @@
     std::unique_ptr<const Snapshot> snapshot;
     PieceBatcher batcher{clock};
     std::vector<PieceCall> calls;
-    std::size_t answered = 0; ///< Of the calls, by a test that answers all.
+    std::size_t answered = 0; ///< Number of calls that a test has answered.
     std::vector<std::pair<std::string, PieceOutcome>> outcomes;
 };
 
@@ -74,209 +74,209 @@
 
 TEST_GROUP(PieceBatcher){};
 
-TEST(PieceBatcher, AnIdleEndpointIsCalledAtOnce)
+TEST(PieceBatcher, CallsAnIdleEndpointAtOnce)
 {
-    Bench bench;
-    bench.order(1);
-    LONGS_EQUAL(1, bench.calls.size());
-    LONGS_EQUAL(1, bench.calls[0].orders.size());
+    Fixture fixture;
+    fixture.submit(1);
+    LONGS_EQUAL(1, fixture.calls.size());
+    LONGS_EQUAL(1, fixture.calls[0].orders.size());
 }
 
-TEST(PieceBatcher, WhatComesDuringACallSharesTheNextOne)
+TEST(PieceBatcher, BatchesPiecesThatArriveDuringACall)
 {
-    Bench bench;
-    bench.order(1);
-    bench.order(2, "h2");
-    bench.order(3, "h3");
-    LONGS_EQUAL(1, bench.calls.size());
-    bench.advance(milliseconds(150));
-    LONGS_EQUAL(2, bench.calls.size());
-    LONGS_EQUAL(2, bench.calls[1].orders.size());
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.submit(2, "h2");
+    fixture.submit(3, "h3");
+    LONGS_EQUAL(1, fixture.calls.size());
+    fixture.advance(milliseconds(150));
+    LONGS_EQUAL(2, fixture.calls.size());
+    LONGS_EQUAL(2, fixture.calls[1].orders.size());
 }
 
-TEST(PieceBatcher, EachPieceGoesBackToItsOwnDaemon)
+TEST(PieceBatcher, ReturnsEachOutcomeToItsOwnDaemon)
 {
-    Bench bench;
-    bench.order(1);
-    bench.order(2, "h2");
-    bench.order(3, "h3");
-    bench.answer(bench.calls[0]);
-    bench.answer(bench.calls[1]);
-    LONGS_EQUAL(3, bench.outcomes.size());
-    for (const auto &[host, outcome] : bench.outcomes) {
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.submit(2, "h2");
+    fixture.submit(3, "h3");
+    fixture.answer(fixture.calls[0]);
+    fixture.answer(fixture.calls[1]);
+    LONGS_EQUAL(3, fixture.outcomes.size());
+    for (const auto &[host, outcome] : fixture.outcomes) {
         const std::uint64_t sequence = outcome.id.request.sequence;
         STRCMP_EQUAL(fmt::format("handle-caller-{}", sequence).c_str(), outcome.handle.c_str());
         STRCMP_EQUAL(sequence == 1 ? "" : fmt::format("h{}", sequence).c_str(), host.c_str());
     }
 }
 
-TEST(PieceBatcher, ACallHoldsNoMoreThanTheBatchAndTheMostUrgentGoFirst)
+TEST(PieceBatcher, LimitsCallsToTheBatchSizeMostUrgentFirst)
 {
-    Bench bench(2);
-    bench.order(1);
-    bench.order(2, "", 2);
-    bench.order(3, "", 1);
-    bench.order(4, "", 0);
-    bench.answer(bench.calls[0]);
-    LONGS_EQUAL(2, bench.calls[1].orders.size());
-    STRCMP_EQUAL("caller-4", bench.calls[1].orders[0].callerId.c_str());
-    STRCMP_EQUAL("caller-3", bench.calls[1].orders[1].callerId.c_str());
+    Fixture fixture(2);
+    fixture.submit(1);
+    fixture.submit(2, "", 2);
+    fixture.submit(3, "", 1);
+    fixture.submit(4, "", 0);
+    fixture.answer(fixture.calls[0]);
+    LONGS_EQUAL(2, fixture.calls[1].orders.size());
+    STRCMP_EQUAL("caller-4", fixture.calls[1].orders[0].callerId.c_str());
+    STRCMP_EQUAL("caller-3", fixture.calls[1].orders[1].callerId.c_str());
 }
 
-TEST(PieceBatcher, ARefusedCallIsTriedAgainAndThenGivenBack)
+TEST(PieceBatcher, RetriesARefusedCallAndThenReportsIt)
 {
-    Bench bench;
-    bench.order(1);
-    bench.fail(bench.calls[0], SendEvidence::RefusedBeforeRun);
-    CHECK(bench.outcomes.empty());
-    // The pause doubles: 40, 80 and 160 ms.
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.fail(fixture.calls[0], SendEvidence::RefusedBeforeRun);
+    CHECK(fixture.outcomes.empty());
+    // The backoff doubles: 40, 80 and 160 ms.
     for (std::size_t i = 1; i <= 3; ++i) {
-        bench.advance(milliseconds(20 << i) - milliseconds(10));
-        LONGS_EQUAL(i, bench.calls.size());
-        bench.advance(milliseconds(20));
-        LONGS_EQUAL(i + 1, bench.calls.size());
-        bench.fail(bench.calls[i], SendEvidence::RefusedBeforeRun);
+        fixture.advance(milliseconds(20 << i) - milliseconds(10));
+        LONGS_EQUAL(i, fixture.calls.size());
+        fixture.advance(milliseconds(20));
+        LONGS_EQUAL(i + 1, fixture.calls.size());
+        fixture.fail(fixture.calls[i], SendEvidence::RefusedBeforeRun);
     }
-    LONGS_EQUAL(1, bench.outcomes.size());
-    CHECK(bench.outcomes[0].second.fault == PieceFault::Refused);
+    LONGS_EQUAL(1, fixture.outcomes.size());
+    CHECK(fixture.outcomes[0].second.fault == PieceFault::Refused);
 }
 
-TEST(PieceBatcher, ALeavingEndpointGetsNoCall)
+TEST(PieceBatcher, DoesNotCallALeavingEndpoint)
 {
-    Bench bench;
-    markLeaving(*bench.snapshot, "maker-0");
-    bench.order(1);
-    CHECK(bench.calls.empty());
-    LONGS_EQUAL(1, bench.outcomes.size());
-    CHECK(bench.outcomes[0].second.fault == PieceFault::Refused);
+    Fixture fixture;
+    markLeaving(*fixture.snapshot, "maker-0");
+    fixture.submit(1);
+    CHECK(fixture.calls.empty());
+    LONGS_EQUAL(1, fixture.outcomes.size());
+    CHECK(fixture.outcomes[0].second.fault == PieceFault::Refused);
 }
 
-TEST(PieceBatcher, WhatIsWithdrawnIsNotCalled)
+TEST(PieceBatcher, DoesNotCallForWithdrawnPieces)
 {
-    Bench bench;
-    bench.order(1);
-    bench.order(2, "h2");
-    bench.batcher.withdraw("h2", {{{7, 2}}});
-    bench.answer(bench.calls[0]);
-    LONGS_EQUAL(1, bench.calls.size());
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.submit(2, "h2");
+    fixture.batcher.withdraw("h2", {{{7, 2}}});
+    fixture.answer(fixture.calls[0]);
+    LONGS_EQUAL(1, fixture.calls.size());
 }
 
-TEST(PieceBatcher, WhatWouldBeLateTakesNoPlace)
+TEST(PieceBatcher, DropsPiecesThatWouldBeLate)
 {
-    Bench bench;
-    bench.order(1);
-    PieceOrder hasty = pieceOrder(2);
-    hasty.untilDeadline = milliseconds(100);
-    bench.batcher.handle("", {"pieces", {hasty}}, *bench.snapshot);
-    bench.collect();
-    LONGS_EQUAL(1, bench.outcomes.size());
-    CHECK(bench.outcomes[0].second.fault == PieceFault::Late);
+    Fixture fixture;
+    fixture.submit(1);
+    PieceOrder urgent = pieceOrder(2);
+    urgent.untilDeadline = milliseconds(100);
+    fixture.batcher.handle("", {"pieces", {urgent}}, *fixture.snapshot);
+    fixture.collect();
+    LONGS_EQUAL(1, fixture.outcomes.size());
+    CHECK(fixture.outcomes[0].second.fault == PieceFault::Late);
 }
 
-TEST(PieceBatcher, APieceGoesToWhicheverEndpointIsFree)
+TEST(PieceBatcher, SendsAPieceToAnyFreeEndpoint)
 {
-    Bench bench(4, 2);
-    bench.order(1);
-    bench.order(2);
-    LONGS_EQUAL(2, bench.calls.size());
-    CHECK(bench.calls[0].endpoint != bench.calls[1].endpoint);
-    bench.order(3);
-    LONGS_EQUAL(2, bench.calls.size());
-    bench.answer(bench.calls[1]);
-    LONGS_EQUAL(3, bench.calls.size());
-    CHECK(bench.calls[2].endpoint == bench.calls[1].endpoint);
+    Fixture fixture(4, 2);
+    fixture.submit(1);
+    fixture.submit(2);
+    LONGS_EQUAL(2, fixture.calls.size());
+    CHECK(fixture.calls[0].endpoint != fixture.calls[1].endpoint);
+    fixture.submit(3);
+    LONGS_EQUAL(2, fixture.calls.size());
+    fixture.answer(fixture.calls[1]);
+    LONGS_EQUAL(3, fixture.calls.size());
+    CHECK(fixture.calls[2].endpoint == fixture.calls[1].endpoint);
 }
 
-TEST(PieceBatcher, ThePiecesOfARequestShareACallWhereTheyFit)
+TEST(PieceBatcher, KeepsPiecesOfARequestInOneCallIfTheyFit)
 {
-    Bench bench(4);
-    bench.order(1);
+    Fixture fixture(4);
+    fixture.submit(1);
     for (std::uint64_t request = 2; request <= 3; ++request) {
         PieceOrders orders{"pieces", {}};
         for (std::uint32_t piece = 0; piece < 3; ++piece) {
             orders.orders.push_back(pieceOrder(request, piece));
         }
-        bench.batcher.handle("", orders, *bench.snapshot);
+        fixture.batcher.handle("", orders, *fixture.snapshot);
     }
-    bench.collect();
-    bench.answer(bench.calls[0]);
-    // Four places would hold a piece of the third request, which could do nothing with it.
-    LONGS_EQUAL(3, bench.calls[1].orders.size());
+    fixture.collect();
+    fixture.answer(fixture.calls[0]);
+    // One of the 4 batch slots stays empty: a single piece of the third request would not help it.
+    LONGS_EQUAL(3, fixture.calls[1].orders.size());
 }
 
-TEST(PieceBatcher, NoCallIsFormedWhoseResultsFindNoRoom)
+TEST(PieceBatcher, FormsNoCallWithoutBufferSpaceForItsResults)
 {
-    Bench bench(4);
+    Fixture fixture(4);
     std::vector<Resource> resources = pieceConfiguration(1, 4);
     std::get<PoolSpec>(resources[0].spec).pieces->roomBytes = 1000;
     std::get<PoolSpec>(resources[0].spec).pieces->resultLife = milliseconds(4000);
-    bench.snapshot = buildSnapshot(resources, 1, "dc1", nullptr);
+    fixture.snapshot = buildSnapshot(resources, 1, "dc1", nullptr);
     PieceOrder large = pieceOrder(1);
     large.resultBytes = 800;
-    bench.batcher.handle("", {"pieces", {large}}, *bench.snapshot);
-    bench.collect();
-    bench.answer(bench.calls[0]);
+    fixture.batcher.handle("", {"pieces", {large}}, *fixture.snapshot);
+    fixture.collect();
+    fixture.answer(fixture.calls[0]);
     large = pieceOrder(2);
     large.resultBytes = 800;
-    bench.batcher.handle("", {"pieces", {large}}, *bench.snapshot);
-    bench.collect();
-    LONGS_EQUAL(1, bench.calls.size());
-    bench.batcher.handle({"pieces", {"handle-caller-1"}}, *bench.snapshot);
-    bench.collect();
-    LONGS_EQUAL(2, bench.calls.size());
-    bench.advance(milliseconds(40));
-    LONGS_EQUAL(1, bench.batcher.drainFreedResults().size());
+    fixture.batcher.handle("", {"pieces", {large}}, *fixture.snapshot);
+    fixture.collect();
+    LONGS_EQUAL(1, fixture.calls.size());
+    fixture.batcher.handle({"pieces", {"handle-caller-1"}}, *fixture.snapshot);
+    fixture.collect();
+    LONGS_EQUAL(2, fixture.calls.size());
+    fixture.advance(milliseconds(40));
+    LONGS_EQUAL(1, fixture.batcher.drainFreedResults().size());
 }
 
-TEST(PieceBatcher, WhatTheFirstEndpointCouldNotBeginGoesToAnother)
+TEST(PieceBatcher, SendsAPieceThatWasNotStartedToAnotherEndpoint)
 {
-    Bench bench(4, 2);
-    bench.order(1);
-    bench.fail(bench.calls[0], SendEvidence::NothingSent);
-    LONGS_EQUAL(2, bench.calls.size());
-    CHECK(bench.calls[0].endpoint != bench.calls[1].endpoint);
-    CHECK(bench.outcomes.empty());
+    Fixture fixture(4, 2);
+    fixture.submit(1);
+    fixture.fail(fixture.calls[0], SendEvidence::NothingSent);
+    LONGS_EQUAL(2, fixture.calls.size());
+    CHECK(fixture.calls[0].endpoint != fixture.calls[1].endpoint);
+    CHECK(fixture.outcomes.empty());
 }
 
-TEST(PieceBatcher, APieceWithoutRoomWaitsForSome)
+TEST(PieceBatcher, RetriesAPieceAfterLackOfBufferSpace)
 {
-    Bench bench;
-    bench.order(1);
+    Fixture fixture;
+    fixture.submit(1);
     PieceCallEnded ended;
-    ended.id = bench.calls[0].id;
+    ended.id = fixture.calls[0].id;
     ended.answered = true;
     ended.results.push_back({"", PieceFault::NoRoom});
-    bench.batcher.handle(ended, *bench.snapshot);
-    bench.collect();
-    CHECK(bench.outcomes.empty());
-    bench.advance(milliseconds(200));
-    LONGS_EQUAL(2, bench.calls.size());
+    fixture.batcher.handle(ended, *fixture.snapshot);
+    fixture.collect();
+    CHECK(fixture.outcomes.empty());
+    fixture.advance(milliseconds(200));
+    LONGS_EQUAL(2, fixture.calls.size());
 }
 
-TEST(PieceBatcher, ADaemonIsIdleWhenNoCallIsInFlight)
+TEST(PieceBatcher, IsIdleWhenNoCallIsInFlight)
 {
-    Bench bench;
-    CHECK(bench.batcher.idle());
-    bench.order(1);
-    CHECK_FALSE(bench.batcher.idle());
-    bench.answer(bench.calls[0]);
-    CHECK(bench.batcher.idle());
+    Fixture fixture;
+    CHECK(fixture.batcher.idle());
+    fixture.submit(1);
+    CHECK_FALSE(fixture.batcher.idle());
+    fixture.answer(fixture.calls[0]);
+    CHECK(fixture.batcher.idle());
 }
 
-TEST(PieceBatcher, AnEndpointThatFailedAPieceDoesNotGetItAgain)
+TEST(PieceBatcher, AvoidsTheEndpointThatFailedAPiece)
 {
-    Bench bench(4, 2);
+    Fixture fixture(4, 2);
     PieceOrder order = pieceOrder(1);
     order.avoid = "maker-0";
-    bench.batcher.handle("", {"pieces", {order}}, *bench.snapshot);
-    bench.collect();
-    STRCMP_EQUAL("maker-1", bench.calls[0].endpoint.c_str());
+    fixture.batcher.handle("", {"pieces", {order}}, *fixture.snapshot);
+    fixture.collect();
+    STRCMP_EQUAL("maker-1", fixture.calls[0].endpoint.c_str());
 }
 
 namespace {
 
-/// Moves on with every reading, as a real clock does.
-class RestlessClock final : public Clock
+/// Advances with each reading, as a real clock does.
+class AdvancingClock final : public Clock
 {
 public:
     [[nodiscard]] TimePoint now() const override
@@ -292,9 +292,9 @@
 
 } // namespace
 
-TEST(PieceBatcher, AClockThatMovesBetweenTwoReadingsHoldsNoCallBack)
+TEST(PieceBatcher, SendsAtOnceIfTheClockAdvancesBetweenReadings)
 {
-    const RestlessClock clock;
+    const AdvancingClock clock;
     const std::unique_ptr<const Snapshot> snapshot =
         buildSnapshot(pieceConfiguration(1, 4), 1, "dc1", nullptr);
     PieceBatcher batcher(clock);
@@ -302,188 +302,188 @@
     LONGS_EQUAL(1, batcher.drainCalls().size());
 }
 
-TEST(PieceBatcher, AnEndpointThatGoesOnRefusingIsAskedLessAndLess)
+TEST(PieceBatcher, BacksOffFromAnEndpointThatKeepsRefusing)
 {
-    // Another batcher, which is gone by now, has filled its queue.
-    Bench bench;
-    bench.order(1);
+    // A previous batcher, which is lost, has filled the queue of the endpoint.
+    Fixture fixture;
+    fixture.submit(1);
     for (int i = 0; i < 200; ++i) {
         if (i % 20 == 0) {
-            bench.order(static_cast<std::uint64_t>(i) + 2);
+            fixture.submit(static_cast<std::uint64_t>(i) + 2);
         }
-        while (bench.answered < bench.calls.size()) {
-            bench.fail(bench.calls[bench.answered++], SendEvidence::RefusedBeforeRun);
+        while (fixture.answered < fixture.calls.size()) {
+            fixture.fail(fixture.calls[fixture.answered++], SendEvidence::RefusedBeforeRun);
         }
-        bench.advance(milliseconds(10));
+        fixture.advance(milliseconds(10));
     }
-    // Two seconds: at a constant pause of 40 ms there would be fifty.
-    CHECK(bench.calls.size() < 15);
-    CHECK(bench.calls.size() > 5);
+    // In 2 s, a constant backoff of 40 ms would give 50 calls.
+    CHECK(fixture.calls.size() < 15);
+    CHECK(fixture.calls.size() > 5);
 }
 
-TEST(PieceBatcher, ForecastsAreCorrectedByWhatCameOfThem)
+TEST(PieceBatcher, CorrectsForecastsByMeasuredTimes)
 {
-    // Room for one result: a piece waits until the one before it is freed, and neither the
-    // queue nor the endpoint's speed shows that.
+    // There is buffer space for one result, so each piece waits until the previous result is freed.
+    // Neither queue length nor slowness of the endpoint reflects that.
     std::vector<Resource> resources = pieceConfiguration(1, 4);
     auto &pool = std::get<PoolSpec>(resources[0].spec);
     pool.pieces->roomBytes = 100;
     pool.pieces->resultLife = std::chrono::seconds(10);
-    Bench bench;
-    bench.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
-    const auto predicted = [&bench] {
-        return predictCompletion(*bench.snapshot->pool("pieces"), 1, 0, bench.clock.now());
+    Fixture fixture;
+    fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
+    const auto predicted = [&fixture] {
+        return predictCompletion(*fixture.snapshot->pool("pieces"), 1, 0, fixture.clock.now());
     };
     const Duration before = predicted();
     for (std::uint64_t i = 1; i <= 100; ++i) {
         PieceOrder order = pieceOrder(i);
         order.resultBytes = 100;
-        bench.batcher.handle("", {"pieces", {order}}, *bench.snapshot);
-        bench.collect();
-        bench.advance(milliseconds(400));
+        fixture.batcher.handle("", {"pieces", {order}}, *fixture.snapshot);
+        fixture.collect();
+        fixture.advance(milliseconds(400));
         const std::string earlier = fmt::format("handle-caller-{}", i - 1);
-        bench.batcher.handle(PieceFrees{"pieces", {earlier}}, *bench.snapshot);
-        bench.collect();
-        LONGS_EQUAL(i, bench.calls.size());
-        bench.advance(milliseconds(160));
-        bench.answer(bench.calls.back());
+        fixture.batcher.handle(PieceFrees{"pieces", {earlier}}, *fixture.snapshot);
+        fixture.collect();
+        LONGS_EQUAL(i, fixture.calls.size());
+        fixture.advance(milliseconds(160));
+        fixture.answer(fixture.calls.back());
     }
-    const std::vector<PieceBacklog> told = bench.batcher.backlogs(*bench.snapshot);
-    DOUBLES_EQUAL(1, told.at(0).slowness, 0.1);
-    PieceRouter::handle(told.at(0), *bench.snapshot, bench.clock.now());
+    const std::vector<PieceBacklog> backlogs = fixture.batcher.backlogs(*fixture.snapshot);
+    DOUBLES_EQUAL(1, backlogs.at(0).slowness, 0.1);
+    PieceRouter::handle(backlogs.at(0), *fixture.snapshot, fixture.clock.now());
     CHECK(predicted() > before * 2);
     CHECK(predicted() < before * 5);
 }
 
-TEST(PieceBatcher, PiecesWaitForTheDataCentreOfWhatTheyRead)
+TEST(PieceBatcher, WaitsForAnEndpointInTheDataCentreOfTheInputs)
 {
     std::vector<Resource> resources = pieceConfiguration(2, 16);
     std::get<EndpointSpec>(resources[2].spec).dataCentre = "dc2";
-    Bench bench;
-    bench.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
-    const auto orderGroup = [&bench](std::uint64_t sequence) {
+    Fixture fixture;
+    fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
+    const auto orderGroup = [&fixture](std::uint64_t sequence) {
         PieceOrders orders{"pieces", {}};
         for (std::uint32_t piece = 0; piece < 16; ++piece) {
             PieceOrder order = pieceOrder(sequence, piece);
             order.inputBytes = 480'000;
             order.inputsDataCentre = "dc2";
-            // The small results are needed elsewhere.
+            // The results, which are small, are needed in another data centre.
             order.dataCentre = "dc1";
             order.resultBytes = 6'000;
             orders.orders.push_back(order);
         }
-        bench.batcher.handle("", orders, *bench.snapshot);
-        bench.collect();
+        fixture.batcher.handle("", orders, *fixture.snapshot);
+        fixture.collect();
     };
     for (std::uint64_t i = 1; i <= 3; ++i) {
         orderGroup(i);
     }
-    // 7.7 MB count as 154 ms, a call takes 310 ms: the second group would wait for longer
-    // than that, and the endpoint of the other data centre is free.
-    LONGS_EQUAL(2, bench.calls.size());
-    STRCMP_EQUAL("maker-1", bench.calls[0].endpoint.c_str());
-    STRCMP_EQUAL("maker-0", bench.calls[1].endpoint.c_str());
-    // When it is nearly free, the third one waits for it.
-    bench.advance(milliseconds(296));
-    LONGS_EQUAL(3, bench.calls.size());
-    STRCMP_EQUAL("maker-1", bench.calls[2].endpoint.c_str());
+    // 7.7 MB count as 154 ms, and a call takes 310 ms: the second group would wait longer than
+    // that, so it goes to the free endpoint in the other data centre.
+    LONGS_EQUAL(2, fixture.calls.size());
+    STRCMP_EQUAL("maker-1", fixture.calls[0].endpoint.c_str());
+    STRCMP_EQUAL("maker-0", fixture.calls[1].endpoint.c_str());
+    // The third group waits, since the closer endpoint is nearly free by then.
+    fixture.advance(milliseconds(296));
+    LONGS_EQUAL(3, fixture.calls.size());
+    STRCMP_EQUAL("maker-1", fixture.calls[2].endpoint.c_str());
 }
 
-TEST(PieceBatcher, WhatTheNextCallOfANearerEndpointCannotTakeGoesElsewhere)
+TEST(PieceBatcher, SendsPiecesElsewhereIfTheNextCallOfACloserEndpointIsFull)
 {
     std::vector<Resource> resources = pieceConfiguration(2, 4);
     std::get<EndpointSpec>(resources[2].spec).dataCentre = "dc2";
-    Bench bench;
-    bench.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
+    Fixture fixture;
+    fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
     PieceOrders orders{"pieces", {}};
     for (std::uint64_t i = 1; i <= 12; ++i) {
         PieceOrder order = pieceOrder(i);
-        // 16 MB count as 320 ms: worth to wait for a call of 190 ms.
+        // 16 MB count as 320 ms, more than the wait for a call of 190 ms.
         order.inputBytes = 16'000'000;
         order.inputsDataCentre = "dc2";
         orders.orders.push_back(order);
     }
-    bench.batcher.handle("", orders, *bench.snapshot);
-    bench.collect();
-    // Four are left to the nearer endpoint, and the others do not leave the second idle.
-    LONGS_EQUAL(2, bench.calls.size());
-    STRCMP_EQUAL("maker-0", bench.calls[0].endpoint.c_str());
-    LONGS_EQUAL(4, bench.calls[0].orders.size());
-    LONGS_EQUAL(5, bench.calls[0].orders[0].id.request.sequence);
-    STRCMP_EQUAL("maker-1", bench.calls[1].endpoint.c_str());
-    LONGS_EQUAL(4, bench.calls[1].orders.size());
-    LONGS_EQUAL(1, bench.calls[1].orders[0].id.request.sequence);
-    // The last four wait for the nearer one, which is free again sooner than they are worth.
-    bench.advance(milliseconds(176));
-    LONGS_EQUAL(3, bench.calls.size());
-    STRCMP_EQUAL("maker-1", bench.calls[2].endpoint.c_str());
+    fixture.batcher.handle("", orders, *fixture.snapshot);
+    fixture.collect();
+    // Four pieces are reserved for the closer endpoint; others use the second one.
+    LONGS_EQUAL(2, fixture.calls.size());
+    STRCMP_EQUAL("maker-0", fixture.calls[0].endpoint.c_str());
+    LONGS_EQUAL(4, fixture.calls[0].orders.size());
+    LONGS_EQUAL(5, fixture.calls[0].orders[0].id.request.sequence);
+    STRCMP_EQUAL("maker-1", fixture.calls[1].endpoint.c_str());
+    LONGS_EQUAL(4, fixture.calls[1].orders.size());
+    LONGS_EQUAL(1, fixture.calls[1].orders[0].id.request.sequence);
+    // The last four wait for the closer endpoint, which is free before the saved cost is used up.
+    fixture.advance(milliseconds(176));
+    LONGS_EQUAL(3, fixture.calls.size());
+    STRCMP_EQUAL("maker-1", fixture.calls[2].endpoint.c_str());
 }
 
-TEST(PieceBatcher, TheRoomOfADaemonThatIsGoneIsGivenBack)
+TEST(PieceBatcher, FreesTheResultsOfALostDaemon)
 {
     std::vector<Resource> resources = pieceConfiguration(1, 4);
     std::get<PoolSpec>(resources[0].spec).pieces->roomBytes = 2000;
     std::get<PoolSpec>(resources[0].spec).pieces->resultLife = std::chrono::seconds(4);
-    Bench bench;
-    bench.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
-    const auto order = [&bench](const std::string &host, std::uint64_t sequence,
-                                Incarnation incarnation) {
+    Fixture fixture;
+    fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
+    const auto order = [&fixture](const std::string &host, std::uint64_t sequence,
+                                  Incarnation incarnation) {
         PieceOrder piece = pieceOrder(sequence);
         piece.id.request.incarnation = incarnation;
         piece.resultBytes = 1000;
-        bench.batcher.handle(host, {"pieces", {piece}}, *bench.snapshot);
-        bench.collect();
+        fixture.batcher.handle(host, {"pieces", {piece}}, *fixture.snapshot);
+        fixture.collect();
     };
     order("h1", 1, 7);
     order("h1", 2, 7);
-    bench.answer(bench.calls[0]);
-    bench.advance(milliseconds(200));
-    bench.answer(bench.calls.at(1));
-    // Both results of h1 stand: there is no room for another.
+    fixture.answer(fixture.calls[0]);
+    fixture.advance(milliseconds(200));
+    fixture.answer(fixture.calls.at(1));
+    // Both results of h1 are stored, so there is no buffer space for another one.
     order("h2", 3, 8);
-    bench.advance(milliseconds(300));
-    LONGS_EQUAL(2, bench.calls.size());
-    bench.batcher.removeHost("h1", *bench.snapshot);
-    bench.collect();
-    LONGS_EQUAL(3, bench.calls.size());
-    bench.advance(milliseconds(50));
-    LONGS_EQUAL(2, bench.batcher.drainFreedResults().size());
-    // h2 ends and starts anew while its call is at work: its result is freed as it comes.
+    fixture.advance(milliseconds(300));
+    LONGS_EQUAL(2, fixture.calls.size());
+    fixture.batcher.removeHost("h1", *fixture.snapshot);
+    fixture.collect();
+    LONGS_EQUAL(3, fixture.calls.size());
+    fixture.advance(milliseconds(50));
+    LONGS_EQUAL(2, fixture.batcher.drainFreedResults().size());
+    // h2 restarts while its call is in flight: the result is freed on arrival.
     order("h2", 4, 9);
-    bench.answer(bench.calls[2]);
-    bench.advance(milliseconds(50));
-    const std::vector<std::string> freed = bench.batcher.drainFreedResults();
+    fixture.answer(fixture.calls[2]);
+    fixture.advance(milliseconds(50));
+    const std::vector<std::string> freed = fixture.batcher.drainFreedResults();
     LONGS_EQUAL(1, freed.size());
     STRCMP_EQUAL("handle-caller-3", freed[0].c_str());
 }
 
-/// A call that takes longer than it should may never be answered, or its endpoint is slow: the
-/// next pieces go where calls end.
-TEST(PieceBatcher, AnEndpointWhoseCallIsOverdueIsNotTakenForFree)
+/// An overdue call may never be answered, or its endpoint is slow. Guards against sending further
+/// pieces there instead of to endpoints whose calls end.
+TEST(PieceBatcher, RegardsAnEndpointWithAnOverdueCallAsBusy)
 {
-    Bench bench(4, 2);
-    bench.order(1);
-    bench.order(2);
-    LONGS_EQUAL(2, bench.calls.size());
-    const PieceCall overdue = bench.calls[0];
-    CHECK(overdue.endpoint != bench.calls[1].endpoint);
-    // 160 ms each; the first goes on.
-    bench.advance(milliseconds(200));
-    bench.answer(bench.calls[1]);
-    bench.order(3);
-    LONGS_EQUAL(3, bench.calls.size());
-    CHECK(bench.calls[2].endpoint != overdue.endpoint);
-    bench.advance(milliseconds(100));
-    // Now only the overdue one has no call behind its first.
-    bench.order(4);
-    LONGS_EQUAL(3, bench.calls.size());
-    bench.advance(milliseconds(100));
-    bench.answer(bench.calls[2]);
-    LONGS_EQUAL(4, bench.calls.size());
-    CHECK(bench.calls[3].endpoint != overdue.endpoint);
-    // Once it answers it is called as before.
-    bench.answer(overdue);
-    bench.order(5);
-    LONGS_EQUAL(5, bench.calls.size());
-    STRCMP_EQUAL(overdue.endpoint.c_str(), bench.calls[4].endpoint.c_str());
+    Fixture fixture(4, 2);
+    fixture.submit(1);
+    fixture.submit(2);
+    LONGS_EQUAL(2, fixture.calls.size());
+    const PieceCall overdue = fixture.calls[0];
+    CHECK(overdue.endpoint != fixture.calls[1].endpoint);
+    // Each call takes 160 ms; the first one does not end.
+    fixture.advance(milliseconds(200));
+    fixture.answer(fixture.calls[1]);
+    fixture.submit(3);
+    LONGS_EQUAL(3, fixture.calls.size());
+    CHECK(fixture.calls[2].endpoint != overdue.endpoint);
+    fixture.advance(milliseconds(100));
+    // Now only the overdue endpoint has no second call.
+    fixture.submit(4);
+    LONGS_EQUAL(3, fixture.calls.size());
+    fixture.advance(milliseconds(100));
+    fixture.answer(fixture.calls[2]);
+    LONGS_EQUAL(4, fixture.calls.size());
+    CHECK(fixture.calls[3].endpoint != overdue.endpoint);
+    // After its answer the endpoint is called again.
+    fixture.answer(overdue);
+    fixture.submit(5);
+    LONGS_EQUAL(5, fixture.calls.size());
+    STRCMP_EQUAL(overdue.endpoint.c_str(), fixture.calls[4].endpoint.c_str());
 }
--- a/unittests/Kernel/piecefixture.h
+++ b/unittests/Kernel/piecefixture.h
@@ -1,4 +1,4 @@
-//===- piecefixture.h - Pools that work in pieces ---------------*- C++ -*-===//
+//===- piecefixture.h - Test pools of pieces --------------------*- C++ -*-===//
 
 #ifndef HARELINK_UNITTESTS_KERNEL_PIECEFIXTURE_H
 #define HARELINK_UNITTESTS_KERNEL_PIECEFIXTURE_H
@@ -9,8 +9,8 @@
 
 namespace harelink::testing {
 
-/// Endpoint "maker-NUMBER" of the pool "pieces", in "dc1".
-inline Resource pieceMaker(int number)
+/// Returns endpoint "maker-NUMBER" of the pool "pieces", in "dc1".
+inline Resource pieceEndpoint(int number)
 {
     EndpointSpec endpoint;
     endpoint.name = fmt::format("maker-{}", number);
@@ -20,8 +20,8 @@
     return makeResource(endpoint);
 }
 
-/// A pool "pieces" of \p endpoints endpoints in "dc1" that take \p batch pieces a call,
-/// at 150 ms a call and 10 ms a piece.
+/// Returns a pool "pieces" of \p endpoints endpoints in "dc1" that accept \p batch pieces per
+/// call. A call takes 150 ms plus 10 ms per piece.
 inline std::vector<Resource> pieceConfiguration(int endpoints, std::uint32_t batch)
 {
     PoolSpec pool;
@@ -35,12 +35,12 @@
     pool.pieces = work;
     std::vector<Resource> resources = {makeResource(pool)};
     for (int i = 0; i < endpoints; ++i) {
-        resources.push_back(pieceMaker(i));
+        resources.push_back(pieceEndpoint(i));
     }
     return resources;
 }
 
-/// An order for one piece of request \p sequence.
+/// Returns an order for one piece of request \p sequence.
 inline PieceOrder pieceOrder(std::uint64_t sequence, std::uint32_t piece = 0, int priority = 0)
 {
     PieceOrder order;
--- a/unittests/Kernel/piecegraphtest.cpp
+++ b/unittests/Kernel/piecegraphtest.cpp
@@ -1,4 +1,4 @@
-//===- piecegraphtest.cpp - Tests of a request's pieces -------------------===//
+//===- piecegraphtest.cpp - Tests of piece dependencies -------------------===//
 
 #include "harelink/Kernel/piecegraph.h"
 
@@ -23,7 +23,7 @@
 
 TEST_GROUP(PieceGraph){};
 
-TEST(PieceGraph, AStageIsReadyWhenThoseBeforeItAreMade)
+TEST(PieceGraph, AStageIsReadyWhenItsInputsAreCompleted)
 {
     PieceGraph graph(sequence, {2, 1, 1});
     const std::vector<PieceIndex> first = graph.scheduleReady();
@@ -36,36 +36,37 @@
     LONGS_EQUAL(2, graph.inputsOf(1).size());
 }
 
-TEST(PieceGraph, WhatOnlyTheRequestReadsWaitsUntilTheRestIsNearlyMade)
+TEST(PieceGraph, DefersAFinalStageUntilTheOthersAreNearlyCompleted)
 {
-    // The first stage needs nothing, and no other reads it; three others form a chain.
+    // The first stage has no inputs, and no other stage reads it; the other three form a chain.
     const std::vector<PieceStageSpec> stages = {
         {"a", {}, 1}, {"a", {}, 1}, {"b", {1}, 1}, {"c", {2}, 1}};
-    const auto stagesTaken = [](PieceGraph &graph, int ofFirst) {
+    const auto scheduledStages = [](PieceGraph &graph, int firstStageMs) {
         using std::chrono::milliseconds;
-        std::vector<std::uint32_t> taken;
-        for (const PieceIndex index : graph.scheduleReady({milliseconds(ofFirst), milliseconds(300),
-                                                           milliseconds(300), milliseconds(300)})) {
-            taken.push_back(index.stage);
+        std::vector<std::uint32_t> scheduled;
+        for (const PieceIndex index :
+             graph.scheduleReady({milliseconds(firstStageMs), milliseconds(300), milliseconds(300),
+                                  milliseconds(300)})) {
+            scheduled.push_back(index.stage);
             graph.markCompleted(index, "r");
         }
-        return taken;
+        return scheduled;
     };
     PieceGraph quick(stages, {1, 1, 1, 1});
-    CHECK(stagesTaken(quick, 250) == std::vector<std::uint32_t>{1});
-    CHECK(stagesTaken(quick, 250) == std::vector<std::uint32_t>{2});
-    CHECK((stagesTaken(quick, 250) == std::vector<std::uint32_t>{0, 3}));
+    CHECK(scheduledStages(quick, 250) == std::vector<std::uint32_t>{1});
+    CHECK(scheduledStages(quick, 250) == std::vector<std::uint32_t>{2});
+    CHECK((scheduledStages(quick, 250) == std::vector<std::uint32_t>{0, 3}));
     CHECK(quick.isComplete());
-    // One that takes longer than what waits is begun earlier.
+    // A final stage that takes longer than the waiting chain starts earlier.
     PieceGraph slow(stages, {1, 1, 1, 1});
-    CHECK(stagesTaken(slow, 400) == std::vector<std::uint32_t>{1});
-    CHECK((stagesTaken(slow, 400) == std::vector<std::uint32_t>{0, 2}));
-    // Where all others are left out it has nothing to wait for.
+    CHECK(scheduledStages(slow, 400) == std::vector<std::uint32_t>{1});
+    CHECK((scheduledStages(slow, 400) == std::vector<std::uint32_t>{0, 2}));
+    // If all other stages are empty, it does not wait.
     PieceGraph alone(stages, {1, 0, 0, 0});
-    CHECK(stagesTaken(alone, 250) == std::vector<std::uint32_t>{0});
+    CHECK(scheduledStages(alone, 250) == std::vector<std::uint32_t>{0});
 }
 
-TEST(PieceGraph, StagesThatDoNotDependRunAtOnceAndBothEndsAreResults)
+TEST(PieceGraph, RunsIndependentStagesTogetherAndReturnsBothResults)
 {
     PieceGraph graph(branches, {1, 1, 1});
     LONGS_EQUAL(2, graph.scheduleReady().size());
@@ -79,7 +80,7 @@
     STRCMP_EQUAL("z20", results[1].c_str());
 }
 
-TEST(PieceGraph, ResultsThatNobodyNeedsAnyMoreAreToldOnce)
+TEST(PieceGraph, ReleasesUnneededResultsOnce)
 {
     PieceGraph graph(sequence, {2, 1, 1});
     completeReady(graph, "r");
@@ -92,7 +93,7 @@
     LONGS_EQUAL(0, graph.releaseAll().size());
 }
 
-TEST(PieceGraph, LostResultsAreMadeAgainWithAllThatTheyCameFrom)
+TEST(PieceGraph, RecomputesLostResultsWithAllTheirInputs)
 {
     PieceGraph graph(sequence, {1, 1, 1});
     completeReady(graph, "r");
--- a/unittests/Kernel/pieceloadtest.cpp
+++ b/unittests/Kernel/pieceloadtest.cpp
@@ -1,10 +1,11 @@
-//===- pieceloadtest.cpp - Bursts on a stage that is short of room --------===//
+//===- pieceloadtest.cpp - Load tests of a stage with small buffers -------===//
 ///
 /// \file
-/// Plays a load on the request machine and the batcher, with a stage whose endpoints take
-/// one call at a time and have room for a few results, and counts what callers get. The
-/// load: requests of one or two pieces whose results are large, whose answers last much
-/// longer than their objective, in a burst that the stage can just carry.
+/// Simulates a load on the request machine and the batcher, and counts the outcomes. The
+/// endpoints of the stage process one call at a time and buffer only a few results. The
+/// load is a burst that the stage can just serve: requests with one or two pieces with large
+/// results, and with answers that last much longer than their objective. Guards against
+/// results that occupy buffer space longer than needed, and against admitting too many.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,31 +27,31 @@
 constexpr std::uint64_t resultBytes = 1'500'000;
 constexpr milliseconds step{5};
 
-struct Load
+struct LoadParameters
 {
     double requestsPerSecond = 32;
-    milliseconds length{6000};
+    milliseconds duration{6000};
     int resultsPerEndpoint = 12;
     milliseconds callTime{200};
-    milliseconds reading{150};     ///< From the sending of a request to its first event.
-    milliseconds streaming{1500};  ///< From there to the end of its answer.
-    bool freesAtFirstEvent = true; ///< The control: at the end of the answer.
+    milliseconds firstEventDelay{150}; ///< From sending a request to its first event.
+    milliseconds streamingTime{1500};  ///< From the first event to the end of the answer.
+    bool freesAtFirstEvent = true;     ///< If false, at the end of the answer.
 };
 
-/// What callers got.
-struct Tally
+/// Outcomes of requests.
+struct Counts
 {
-    int asked = 0;
+    int requests = 0;
     int inTime = 0;
     int late = 0;
     int refused = 0;
-    int noRoom = 0; ///< Pieces.
-    [[nodiscard]] double inTimePart() const { return static_cast<double>(inTime) / asked; }
+    int noSpace = 0; ///< Pieces that found no buffer space.
+    [[nodiscard]] double inTimeFraction() const { return static_cast<double>(inTime) / requests; }
 };
 
-std::vector<Resource> configurationOf(const Load &load)
+std::vector<Resource> configurationOf(const LoadParameters &load)
 {
-    // Twelve engines: what binds is the stage.
+    // With 12 engines, the stage is the bottleneck.
     std::vector<Resource> resources = proxiedConfiguration(12);
     for (Resource &resource : resources) {
         if (auto *pool = std::get_if<PoolSpec>(&resource.spec); pool != nullptr && pool->pieces) {
@@ -68,34 +69,34 @@
         }
     }
     for (int i = 2; i < 4; ++i) {
-        resources.push_back(pieceMaker(i));
+        resources.push_back(pieceEndpoint(i));
     }
     return resources;
 }
 
-/// The endpoints of the stage: one call at a time each, and room for results.
-class Makers
+/// The endpoints of the stage: each processes one call at a time and buffers results.
+class StageEndpoints
 {
 public:
-    explicit Makers(const Load &load)
+    explicit StageEndpoints(const LoadParameters &load)
         : m_load(load)
     {
     }
-    void take(PieceCall call, TimePoint now)
+    void accept(PieceCall call, TimePoint now)
     {
-        TimePoint &free = m_freeAt[call.endpoint];
+        TimePoint &free = m_idleAt[call.endpoint];
         const TimePoint begin = std::max(free, now);
         free = begin + m_load.callTime + milliseconds(21) * static_cast<int>(call.orders.size());
         m_calls.push_back({begin, free, std::move(call), {}, false});
     }
-    void free(const std::string &handle) { m_kept.erase(handle); }
-    /// The calls that ended until \p now.
-    std::vector<PieceCallEnded> advance(TimePoint now, int &noRoom)
+    void free(const std::string &handle) { m_stored.erase(handle); }
+    /// Returns the calls that ended until \p now.
+    std::vector<PieceCallEnded> advance(TimePoint now, int &noSpace)
     {
         std::vector<PieceCallEnded> ended;
         for (Call &call : m_calls) {
-            if (!call.hasBegun && call.begin <= now) {
-                begin(call, noRoom);
+            if (!call.hasStarted && call.begin <= now) {
+                begin(call, noSpace);
             }
             if (call.end <= now) {
                 PieceCallEnded event;
@@ -116,189 +117,189 @@
         TimePoint end;
         PieceCall call;
         std::vector<PieceResult> results;
-        bool hasBegun = false;
+        bool hasStarted = false;
     };
-    /// Room is taken from the turn of a call on.
-    void begin(Call &call, int &noRoom)
+    /// Buffer space is allocated when a call starts.
+    void begin(Call &call, int &noSpace)
     {
-        call.hasBegun = true;
+        call.hasStarted = true;
         for (std::size_t i = 0; i < call.call.orders.size(); ++i) {
-            const auto taken =
-                std::count_if(m_kept.begin(), m_kept.end(), [&call](const auto &entry) {
+            const auto stored =
+                std::count_if(m_stored.begin(), m_stored.end(), [&call](const auto &entry) {
                     return entry.second == call.call.endpoint;
                 });
-            if (taken >= m_load.resultsPerEndpoint) {
-                ++noRoom;
+            if (stored >= m_load.resultsPerEndpoint) {
+                ++noSpace;
                 call.results.push_back({"", PieceFault::NoRoom});
                 continue;
             }
             const std::string handle = fmt::format("result-{}", ++m_lastHandle);
-            m_kept[handle] = call.call.endpoint;
+            m_stored[handle] = call.call.endpoint;
             call.results.push_back({handle, PieceFault::None});
         }
     }
 
-    const Load &m_load;
+    const LoadParameters &m_load;
     std::vector<Call> m_calls;
-    std::map<std::string, TimePoint> m_freeAt;
-    std::map<std::string, std::string> m_kept; ///< Endpoint by handle.
+    std::map<std::string, TimePoint> m_idleAt;
+    std::map<std::string, std::string> m_stored; ///< Endpoint by handle.
     std::uint64_t m_lastHandle = 0;
 };
 
-/// The machine, the batcher, the stage, and callers that come at a steady rate.
-class Play
+/// Runs the request machine, the batcher and the stage, with requests at a constant rate.
+class LoadSimulation
 {
 public:
-    explicit Play(const Load &load)
+    explicit LoadSimulation(const LoadParameters &load)
         : m_load(load)
-        , m_makers(m_load)
-        , m_batcher(m_bench.clock)
+        , m_endpoints(m_load)
+        , m_batcher(m_fixture.clock)
     {
-        m_bench.snapshot = buildSnapshot(configurationOf(load), 2, "dc1", nullptr);
+        m_fixture.snapshot = buildSnapshot(configurationOf(load), 2, "dc1", nullptr);
     }
-    Tally run()
+    Counts run()
     {
-        for (Duration passed{}; passed < m_load.length + milliseconds(8000); passed += step) {
+        for (Duration passed{}; passed < m_load.duration + milliseconds(8000); passed += step) {
             const double due =
                 m_load.requestsPerSecond * std::chrono::duration<double>(passed).count();
-            while (passed < m_load.length && m_tally.asked < due) {
+            while (passed < m_load.duration && m_counts.requests < due) {
                 arrive();
             }
-            turn();
-            m_bench.advance(step);
+            processStep();
+            m_fixture.advance(step);
         }
-        // Each caller got one answer.
-        LONGS_EQUAL(m_tally.asked, static_cast<long>(m_bench.answers.size()));
-        LONGS_EQUAL(m_tally.asked, m_tally.inTime + m_tally.late + m_tally.refused);
-        return m_tally;
+        // Each request got exactly one answer.
+        LONGS_EQUAL(m_counts.requests, static_cast<long>(m_fixture.answers.size()));
+        LONGS_EQUAL(m_counts.requests, m_counts.inTime + m_counts.late + m_counts.refused);
+        return m_counts;
     }
 
 private:
     void arrive()
     {
-        // One of four needs one piece, the others two: 1.75 a request.
-        const std::uint32_t pieces = ++m_tally.asked % 4 == 0 ? 1 : 2;
-        const RequestId id = m_bench.arrive("/talk/pieces/1", "key-1", {pieces});
-        m_arrivedAt[id.sequence] = m_bench.clock.now();
+        // One in four requests has one piece, the others have two: 1.75 on average.
+        const std::uint32_t pieces = ++m_counts.requests % 4 == 0 ? 1 : 2;
+        const RequestId id = m_fixture.arrive("/talk/pieces/1", "key-1", {pieces});
+        m_arrivedAt[id.sequence] = m_fixture.clock.now();
     }
-    void turn()
+    void processStep()
     {
-        const TimePoint now = m_bench.clock.now();
-        for (OrderPieces &order : std::exchange(m_bench.orders, {})) {
-            m_batcher.handle("", {order.pool, std::move(order.orders)}, *m_bench.snapshot);
+        const TimePoint now = m_fixture.clock.now();
+        for (OrderPieces &order : std::exchange(m_fixture.orders, {})) {
+            m_batcher.handle("", {order.pool, std::move(order.orders)}, *m_fixture.snapshot);
         }
-        for (const WithdrawPieces &withdrawal : std::exchange(m_bench.withdrawals, {})) {
+        for (const WithdrawPieces &withdrawal : std::exchange(m_fixture.withdrawals, {})) {
             m_batcher.withdraw("", {{withdrawal.id}});
         }
-        for (FreeResults &frees : std::exchange(m_bench.frees, {})) {
-            const Duration held = m_load.freesAtFirstEvent ? milliseconds(0) : m_load.streaming;
+        for (FreeResults &frees : std::exchange(m_fixture.frees, {})) {
+            const Duration held = m_load.freesAtFirstEvent ? milliseconds(0) : m_load.streamingTime;
             m_frees.emplace(now + held, std::move(frees.handles));
         }
         for (; !m_frees.empty() && m_frees.begin()->first <= now; m_frees.erase(m_frees.begin())) {
-            m_batcher.handle(PieceFrees{"pieces", m_frees.begin()->second}, *m_bench.snapshot);
+            m_batcher.handle(PieceFrees{"pieces", m_frees.begin()->second}, *m_fixture.snapshot);
         }
-        m_batcher.tick(*m_bench.snapshot);
+        m_batcher.tick(*m_fixture.snapshot);
         for (const std::string &handle : m_batcher.drainFreedResults()) {
-            m_makers.free(handle);
+            m_endpoints.free(handle);
         }
-        for (const PieceCallEnded &ended : m_makers.advance(now, m_tally.noRoom)) {
-            m_batcher.handle(ended, *m_bench.snapshot);
+        for (const PieceCallEnded &ended : m_endpoints.advance(now, m_counts.noSpace)) {
+            m_batcher.handle(ended, *m_fixture.snapshot);
         }
         for (PieceCall &call : m_batcher.drainCalls()) {
-            m_makers.take(std::move(call), now);
+            m_endpoints.accept(std::move(call), now);
         }
-        for (OutgoingPieceOutcomes &send : m_batcher.drainOutcomes(*m_bench.snapshot)) {
-            PieceRouter::handle(send.outcomes.backlog, *m_bench.snapshot, now);
+        for (OutgoingPieceOutcomes &send : m_batcher.drainOutcomes(*m_fixture.snapshot)) {
+            PieceRouter::handle(send.outcomes.backlog, *m_fixture.snapshot, now);
             for (PieceOutcome &outcome : send.outcomes.outcomes) {
-                m_bench.pieceEnded(outcome.id, outcome.handle, outcome.fault);
+                m_fixture.pieceEnded(outcome.id, outcome.handle, outcome.fault);
             }
         }
-        answerSent(now);
+        simulateEngines(now);
     }
-    /// Plays the engines, which have no limits here, and counts what comes of requests.
-    void answerSent(TimePoint now)
+    /// Simulates the engines, which have no limits here, and counts the outcomes.
+    void simulateEngines(TimePoint now)
     {
-        for (const SendStage &send : std::exchange(m_bench.sends, {})) {
-            m_firstEvents.emplace(now + m_load.reading, send);
+        for (const SendStage &send : std::exchange(m_fixture.sends, {})) {
+            m_firstEvents.emplace(now + m_load.firstEventDelay, send);
         }
         for (; !m_firstEvents.empty() && m_firstEvents.begin()->first <= now;
              m_firstEvents.erase(m_firstEvents.begin())) {
             const SendStage send = m_firstEvents.begin()->second;
-            m_bench.event(send, 1);
+            m_fixture.event(send, 1);
             const bool inTime =
                 now - m_arrivedAt.at(send.call.request.sequence) <= milliseconds(1100);
-            ++(inTime ? m_tally.inTime : m_tally.late);
-            m_ends.emplace(now + m_load.streaming, send);
+            ++(inTime ? m_counts.inTime : m_counts.late);
+            m_ends.emplace(now + m_load.streamingTime, send);
         }
         for (; !m_ends.empty() && m_ends.begin()->first <= now; m_ends.erase(m_ends.begin())) {
-            m_bench.answer(m_ends.begin()->second);
+            m_fixture.answer(m_ends.begin()->second);
         }
-        m_tally.refused = static_cast<int>(
-            std::count_if(m_bench.answers.begin(), m_bench.answers.end(),
+        m_counts.refused = static_cast<int>(
+            std::count_if(m_fixture.answers.begin(), m_fixture.answers.end(),
                           [](const AnswerCaller &a) { return a.outcome == Outcome::NotRun; }));
     }
 
-    Load m_load;
-    ProxiedFixture m_bench;
-    Makers m_makers;
+    LoadParameters m_load;
+    ProxiedFixture m_fixture;
+    StageEndpoints m_endpoints;
     PieceBatcher m_batcher;
-    Tally m_tally;
+    Counts m_counts;
     std::map<std::uint64_t, TimePoint> m_arrivedAt;
     std::multimap<TimePoint, std::vector<std::string>> m_frees;
     std::multimap<TimePoint, SendStage> m_firstEvents;
     std::multimap<TimePoint, SendStage> m_ends;
 };
 
-Tally play(const Load &load)
+Counts simulate(const LoadParameters &load)
 {
-    return Play(load).run();
+    return LoadSimulation(load).run();
 }
 
 } // namespace
 
 TEST_GROUP(PieceLoad){};
 
-TEST(PieceLoad, ABurstOfLargeResultsIsServedWhereTheirRoomIsGivenBackAtTheFirstEvent)
+TEST(PieceLoad, ServesABurstIfResultsAreFreedAtTheFirstEvent)
 {
-    // 56 results a second, of which an endpoint has room for twelve; its calls carry 87.
-    const Tally released = play({});
-    LONGS_EQUAL(released.asked, released.inTime);
-    // The control: held to the end of the answer, they take room for two seconds each.
-    Load held;
+    // 56 results per second; an endpoint buffers 12, and its calls process 87 per second.
+    const Counts released = simulate({});
+    LONGS_EQUAL(released.requests, released.inTime);
+    // Control case: kept to the end of the answer, each result occupies its space for 2 s.
+    LoadParameters held;
     held.freesAtFirstEvent = false;
-    CHECK(play(held).inTimePart() < 0.5);
+    CHECK(simulate(held).inTimeFraction() < 0.5);
 }
 
-TEST(PieceLoad, WhatIsTakenInFollowsRoomAndCostsOfTheConfiguration)
+TEST(PieceLoad, AdmissionFollowsConfiguredBufferSpaceAndCallTime)
 {
-    const auto playWith = [](int resultsPerEndpoint, int callTime) {
-        Load load;
+    const auto simulateWith = [](int resultsPerEndpoint, int callTime) {
+        LoadParameters load;
         load.resultsPerEndpoint = resultsPerEndpoint;
         load.callTime = milliseconds(callTime);
-        return play(load);
+        return simulate(load);
     };
-    // Half of the costs, or twice the room: no worse.
-    DOUBLES_EQUAL(1, playWith(12, 100).inTimePart(), 0);
-    DOUBLES_EQUAL(1, playWith(24, 200).inTimePart(), 0);
-    // Half of the room carries some four fifths, twice the costs some two thirds. The rest
-    // is refused and does not hold up those that are taken in.
-    for (const Tally &tally : {playWith(6, 200), playWith(12, 400)}) {
-        CHECK(tally.inTimePart() > 0.65);
-        CHECK(tally.late < tally.refused);
-        CHECK(tally.late < tally.inTime / 8);
+    // Half the call time, or twice the buffer space, is at least as good.
+    DOUBLES_EQUAL(1, simulateWith(12, 100).inTimeFraction(), 0);
+    DOUBLES_EQUAL(1, simulateWith(24, 200).inTimeFraction(), 0);
+    // Half the buffer space serves about 4/5, twice the call time about 2/3. The rest is refused
+    // and does not delay the admitted requests.
+    for (const Counts &counts : {simulateWith(6, 200), simulateWith(12, 400)}) {
+        CHECK(counts.inTimeFraction() > 0.65);
+        CHECK(counts.late < counts.refused);
+        CHECK(counts.late < counts.inTime / 8);
     }
-    // Neither fits: few are served, and these in time.
-    const Tally scarce = playWith(6, 400);
-    CHECK(scarce.inTimePart() > 0.3);
-    CHECK(scarce.late < scarce.inTime / 2);
+    // With both, few requests are served, but in time.
+    const Counts limited = simulateWith(6, 400);
+    CHECK(limited.inTimeFraction() > 0.3);
+    CHECK(limited.late < limited.inTime / 2);
 }
 
-TEST(PieceLoad, OverloadIsRefusedAndTheRestIsInTime)
+TEST(PieceLoad, RefusesOverloadAndServesTheRestInTime)
 {
-    // Three times what the calls carry.
-    Load load;
+    // Three times the capacity of the stage.
+    LoadParameters load;
     load.requestsPerSecond = 150;
-    const Tally tally = play(load);
-    CHECK(tally.inTime > 150);
-    CHECK(tally.late < tally.inTime / 2);
+    const Counts counts = simulate(load);
+    CHECK(counts.inTime > 150);
+    CHECK(counts.late < counts.inTime / 2);
 }
--- a/unittests/Kernel/piecepartitionstest.cpp
+++ b/unittests/Kernel/piecepartitionstest.cpp
@@ -1,4 +1,4 @@
-//===- piecepartstest.cpp - Tests of large pools' parts -------------------===//
+//===- piecepartitionstest.cpp - Tests of pool partitions -----------------===//
 
 #include "piecefixture.h"
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// A pool of \p endpoints endpoints, spread over three data centres.
-std::unique_ptr<const Snapshot> spread(int endpoints)
+/// Returns a pool of \p endpoints endpoints in three data centres.
+std::unique_ptr<const Snapshot> spreadSnapshot(int endpoints)
 {
     std::vector<Resource> resources = pieceConfiguration(endpoints, 4);
     for (std::size_t i = 1; i < resources.size(); ++i) {
@@ -25,10 +25,10 @@
     return buildSnapshot(resources, 1, "dc1", nullptr);
 }
 
-struct Bench
+struct Fixture
 {
-    explicit Bench(int endpoints = 9)
-        : snapshot(spread(endpoints))
+    explicit Fixture(int endpoints = 9)
+        : snapshot(spreadSnapshot(endpoints))
     {
     }
     [[nodiscard]] const PoolEntry &pool() const { return *snapshot->pool("pieces"); }
@@ -36,13 +36,14 @@
     {
         snapshot->poolOrPartition("pieces/" + dataCentre)->pieceLoad->waiting[0] = pieces;
     }
-    /// How many of 300 groups go to each data centre.
-    [[nodiscard]] std::map<std::string, int> choices(const std::string &wanted) const
+    /// Returns the number of groups, of 300, that go to each data centre.
+    [[nodiscard]] std::map<std::string, int>
+    countChoices(const std::string &resultsDataCentre) const
     {
         std::map<std::string, int> counts;
         for (std::uint64_t i = 0; i < 300; ++i) {
             PieceGroup group;
-            group.transfers.resultsDataCentre = wanted;
+            group.transfers.resultsDataCentre = resultsDataCentre;
             group.transfers.resultBytes = 1000;
             group.selectionHash = PieceGroup::selectionHashOf({7, i}, 0);
             ++counts[choosePartition(*snapshot, pool(), group, now).dataCentre];
@@ -58,54 +59,58 @@
 
 TEST_GROUP(PiecePartitions){};
 
-TEST(PiecePartitions, ALargePoolHasOneForEachDataCentre)
+TEST(PiecePartitions, LargePoolHasOnePartitionPerDataCentre)
 {
-    const Bench bench;
-    LONGS_EQUAL(3, bench.pool().partitions.size());
-    for (const std::string &name : bench.pool().partitions) {
-        LONGS_EQUAL(3, bench.snapshot->poolOrPartition(name)->endpoints.size());
+    const Fixture fixture;
+    LONGS_EQUAL(3, fixture.pool().partitions.size());
+    for (const std::string &name : fixture.pool().partitions) {
+        LONGS_EQUAL(3, fixture.snapshot->poolOrPartition(name)->endpoints.size());
     }
-    CHECK(Bench(5).pool().partitions.empty());
+    CHECK(Fixture(5).pool().partitions.empty());
 }
 
-TEST(PiecePartitions, PiecesAreMadeWhereTheirResultsAreNeeded)
+TEST(PiecePartitions, ComputesPiecesWhereTheResultsAreNeeded)
 {
-    const Bench bench;
-    LONGS_EQUAL(300, bench.choices("dc2")["dc2"]);
-    // A little more to do there is no reason to leave.
-    bench.setWaiting("dc2", 6);
-    LONGS_EQUAL(300, bench.choices("dc2")["dc2"]);
+    const Fixture fixture;
+    LONGS_EQUAL(300, fixture.countChoices("dc2")["dc2"]);
+    // A small backlog there is no sufficient reason to use another data centre.
+    fixture.setWaiting("dc2", 6);
+    LONGS_EQUAL(300, fixture.countChoices("dc2")["dc2"]);
 }
 
-TEST(PiecePartitions, WhatIsTooBusyIsLeftForAllOthersAlike)
+TEST(PiecePartitions, SpreadsPiecesOfABusyPartitionOverTheOthers)
 {
-    const Bench bench;
-    bench.setWaiting("dc2", 60);
-    const std::map<std::string, int> counts = bench.choices("dc2");
+    const Fixture fixture;
+    fixture.setWaiting("dc2", 60);
+    const std::map<std::string, int> counts = fixture.countChoices("dc2");
     CHECK(!counts.contains("dc2"));
-    // Were all to take the best one by the same old news, it would be the next to be full.
+    // If all daemons chose the best partition by the same stale forecast, it would be overloaded
+    // next.
     CHECK(counts.at("dc1") > 100);
     CHECK(counts.at("dc3") > 100);
 }
 
-TEST(PiecePartitions, APartThatFailedOrHasNoEndpointIsPassedOver)
+TEST(PiecePartitions, SkipsAPartitionThatFailedOrHasNoUsableEndpoint)
 {
-    const Bench bench;
+    const Fixture fixture;
     PieceGroup group;
     group.transfers.resultsDataCentre = "dc2";
     group.transfers.resultBytes = 1000;
     group.avoid = "pieces/dc2";
-    CHECK(choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
+    CHECK(choosePartition(*fixture.snapshot, fixture.pool(), group, fixture.now).dataCentre
+          != "dc2");
     group.avoid.clear();
-    for (const EndpointEntry &endpoint : bench.snapshot->poolOrPartition("pieces/dc2")->endpoints) {
-        markLeaving(*bench.snapshot, endpoint.spec.name);
+    for (const EndpointEntry &endpoint :
+         fixture.snapshot->poolOrPartition("pieces/dc2")->endpoints) {
+        markLeaving(*fixture.snapshot, endpoint.spec.name);
     }
-    CHECK(choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre != "dc2");
+    CHECK(choosePartition(*fixture.snapshot, fixture.pool(), group, fixture.now).dataCentre
+          != "dc2");
 }
 
-TEST(PiecePartitions, InputsThatEachPieceReadsWeighMoreThanTheResults)
+TEST(PiecePartitions, CountsInputBytesForEachPiece)
 {
-    const Bench bench;
+    const Fixture fixture;
     PieceOrder order = pieceOrder(1);
     order.resultBytes = 6'000;
     order.dataCentre = "dc1";
@@ -115,6 +120,7 @@
     group.count = 16;
     group.transfers = transfersOf(order, 16);
     STRCMP_EQUAL(
-        "dc3", choosePartition(*bench.snapshot, bench.pool(), group, bench.now).dataCentre.c_str());
+        "dc3",
+        choosePartition(*fixture.snapshot, fixture.pool(), group, fixture.now).dataCentre.c_str());
     CHECK(transferCost(group.transfers, "dc1") > transferCost(group.transfers, "dc3") * 50);
 }
--- a/unittests/Kernel/pieceroutertest.cpp
+++ b/unittests/Kernel/pieceroutertest.cpp
@@ -1,4 +1,4 @@
-//===- pieceroutertest.cpp - Tests of where pieces are made ---------------===//
+//===- pieceroutertest.cpp - Tests of the routing of pieces ---------------===//
 
 #include "piecefixture.h"
 
@@ -12,13 +12,13 @@
 
 namespace {
 
-struct Bench
+struct Fixture
 {
-    Bench()
+    Fixture()
         : snapshot(buildSnapshot(pieceConfiguration(2, 4), 1, "dc1", nullptr))
     {
     }
-    void hear(const std::string &host)
+    void receiveHeartbeat(const std::string &host)
     {
         PeerMessage message;
         message.host = host;
@@ -38,12 +38,13 @@
             outcomes.push_back(std::move(outcome));
         }
     }
-    void order(std::uint64_t sequence)
+    void submit(std::uint64_t sequence)
     {
         router.submit("pieces", {pieceOrder(sequence)}, *snapshot);
         collect();
     }
-    void settle(const OutgoingPieceOrders &send, const std::string &handle, PieceFault fault)
+    void receiveOutcome(const OutgoingPieceOrders &send, const std::string &handle,
+                        PieceFault fault)
     {
         PieceOutcomes message;
         message.backlog.pool = send.orders.pool;
@@ -70,58 +71,58 @@
 
 TEST_GROUP(PieceRouter){};
 
-TEST(PieceRouter, AMadePieceIsToldOnceHoweverOftenItIsMade)
+TEST(PieceRouter, ReportsADuplicatePieceOnce)
 {
-    Bench bench;
-    bench.order(1);
-    bench.settle(bench.orders[0], "a", PieceFault::None);
-    bench.settle(bench.orders[0], "b", PieceFault::None);
-    LONGS_EQUAL(1, bench.outcomes.size());
-    STRCMP_EQUAL("a", bench.outcomes[0].handle.c_str());
-    // The second result is nobody's and is freed.
-    const auto frees = bench.router.drainFrees();
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.receiveOutcome(fixture.orders[0], "a", PieceFault::None);
+    fixture.receiveOutcome(fixture.orders[0], "b", PieceFault::None);
+    LONGS_EQUAL(1, fixture.outcomes.size());
+    STRCMP_EQUAL("a", fixture.outcomes[0].handle.c_str());
+    // No request owns the second result, so it is freed.
+    const auto frees = fixture.router.drainFrees();
     LONGS_EQUAL(1, frees.size());
     STRCMP_EQUAL("b", frees[0].second.handles[0].c_str());
 }
 
-TEST(PieceRouter, AFailedPieceIsOrderedElsewhere)
+TEST(PieceRouter, ResubmitsAFailedPieceToAvoidTheEndpoint)
 {
-    Bench bench;
-    bench.order(1);
-    bench.settle(bench.orders[0], "", PieceFault::Failed);
-    LONGS_EQUAL(2, bench.orders.size());
-    STRCMP_EQUAL("maker-0", bench.orders[1].orders.orders[0].avoid.c_str());
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.receiveOutcome(fixture.orders[0], "", PieceFault::Failed);
+    LONGS_EQUAL(2, fixture.orders.size());
+    STRCMP_EQUAL("maker-0", fixture.orders[1].orders.orders[0].avoid.c_str());
 }
 
-TEST(PieceRouter, ALateAnswerOfTheFirstOrderStillServes)
+TEST(PieceRouter, AcceptsALateOutcomeOfTheFirstOrder)
 {
-    Bench bench;
-    bench.order(1);
-    bench.advance(milliseconds(2500));
-    LONGS_EQUAL(2, bench.orders.size());
-    bench.settle(bench.orders[0], "a", PieceFault::None);
-    LONGS_EQUAL(1, bench.outcomes.size());
+    Fixture fixture;
+    fixture.submit(1);
+    fixture.advance(milliseconds(2500));
+    LONGS_EQUAL(2, fixture.orders.size());
+    fixture.receiveOutcome(fixture.orders[0], "a", PieceFault::None);
+    LONGS_EQUAL(1, fixture.outcomes.size());
 }
 
-TEST(PieceRouter, ABatcherThatFellSilentIsPassedOver)
+TEST(PieceRouter, SkipsAnUnreachableBatcher)
 {
-    Bench bench;
+    Fixture fixture;
     for (const char *host : {"h2", "h3", "h4", "h5", "h6", "h7"}) {
-        bench.hear(host);
+        fixture.receiveHeartbeat(host);
     }
-    bench.order(1);
-    CHECK(bench.orders[0].host != "h1");
-    // Nobody is heard any more: what was ordered there is ordered again, here.
-    bench.advance(milliseconds(700));
-    LONGS_EQUAL(2, bench.orders.size());
-    STRCMP_EQUAL("h1", bench.orders[1].host.c_str());
+    fixture.submit(1);
+    CHECK(fixture.orders[0].host != "h1");
+    // All peers are unreachable: the order is resubmitted to this daemon.
+    fixture.advance(milliseconds(700));
+    LONGS_EQUAL(2, fixture.orders.size());
+    STRCMP_EQUAL("h1", fixture.orders[1].host.c_str());
 }
 
-TEST(PieceRouter, AllDaemonsThatHearEachOtherChooseTheSameBatcher)
+TEST(PieceRouter, ConnectedDaemonsChooseTheSameBatcher)
 {
-    Bench bench;
-    bench.hear("h2");
-    bench.order(1);
+    Fixture fixture;
+    fixture.receiveHeartbeat("h2");
+    fixture.submit(1);
     ManualClock clock;
     Membership membership(clock, "h2", "127.0.0.1:2", "dc1", 5);
     PeerMessage message;
@@ -132,33 +133,33 @@
     message.content = heartbeat;
     membership.recordMessage(message);
     PieceRouter router(clock, membership, {});
-    router.submit("pieces", {pieceOrder(2)}, *bench.snapshot);
-    CHECK(router.drainOrders()[0].host == bench.orders[0].host);
+    router.submit("pieces", {pieceOrder(2)}, *fixture.snapshot);
+    CHECK(router.drainOrders()[0].host == fixture.orders[0].host);
 }
 
-TEST(PieceRouter, WhatMayNotBeOrderedAgainIsWaitedFor)
+TEST(PieceRouter, KeepsWaitingIfResubmissionIsNotAllowed)
 {
-    // No repeat is allowed: the one order under way is all there is, and may only be slow.
-    Bench bench;
-    PieceRouter router(bench.clock, bench.membership, {0, 0, milliseconds(10'000)});
-    router.submit("pieces", {pieceOrder(1)}, *bench.snapshot);
+    // The retry budget is empty. The only order may just be slow, so no fault is reported.
+    Fixture fixture;
+    PieceRouter router(fixture.clock, fixture.membership, {0, 0, milliseconds(10'000)});
+    router.submit("pieces", {pieceOrder(1)}, *fixture.snapshot);
     const OutgoingPieceOrders order = router.drainOrders()[0];
-    bench.clock.advance(milliseconds(2500));
-    router.tick(*bench.snapshot);
+    fixture.clock.advance(milliseconds(2500));
+    router.tick(*fixture.snapshot);
     CHECK(router.drainOrders().empty());
     CHECK(router.drainOutcomes().empty());
     PieceOutcomes message;
     message.outcomes.push_back({order.orders.orders[0].id, "maker-0", "a", PieceFault::None});
-    router.handle(message, *bench.snapshot);
+    router.handle(message, *fixture.snapshot);
     LONGS_EQUAL(1, router.drainOutcomes().size());
 }
 
 namespace {
 
-/// A daemon of hundreds that has just started, and read who is declared.
-struct StartingBench : Bench
+/// A daemon that has just started and read the list of declared hosts.
+struct StartingFixture : Fixture
 {
-    explicit StartingBench(int declared)
+    explicit StartingFixture(int declared)
     {
         std::vector<PlatformObject> hosts;
         for (int i = 0; i < declared; ++i) {
@@ -175,42 +176,42 @@
 
 } // namespace
 
-/// Hundreds that start together choose one batcher before they have heard of each other, and
-/// not each itself.
-TEST(PieceRouter, AmongManyThatStartAnAbleDeclaredHostBatches)
+/// Guards against each daemon of a large cluster choosing itself as batcher when all start
+/// together, before they have received heartbeats of each other.
+TEST(PieceRouter, LargeStartingClusterChoosesAnAbleDeclaredHost)
 {
-    StartingBench bench(100);
-    bench.order(1);
-    CHECK(bench.orders[0].host.starts_with("d"));
-    CHECK(bench.orders[0].host.ends_with("0"));
-    // One that was never heard of is passed over soon.
-    bench.advance(milliseconds(800));
-    bench.order(2);
-    STRCMP_EQUAL("h1", bench.orders.back().host.c_str());
+    StartingFixture fixture(100);
+    fixture.submit(1);
+    CHECK(fixture.orders[0].host.starts_with("d"));
+    CHECK(fixture.orders[0].host.ends_with("0"));
+    // A host that never sent a heartbeat is skipped after a short time.
+    fixture.advance(milliseconds(800));
+    fixture.submit(2);
+    STRCMP_EQUAL("h1", fixture.orders.back().host.c_str());
 }
 
-TEST(PieceRouter, AmongManyARelaysListSaysWhoBatches)
+TEST(PieceRouter, LargeClusterFollowsTheHostListOfARelay)
 {
-    StartingBench bench(100);
-    bench.order(1);
-    const std::string declared = bench.orders[0].host;
-    // All but that one live.
+    StartingFixture fixture(100);
+    fixture.submit(1);
+    const std::string declared = fixture.orders[0].host;
+    // The relay reports all hosts but that one as live.
     std::vector<HostReport> live;
-    for (const auto &[name, peer] : bench.membership.peers()) {
+    for (const auto &[name, peer] : fixture.membership.peers()) {
         if (name != declared) {
             live.push_back({name, "dc1", peer.address, 7, false, peer.capacity});
         }
     }
-    bench.membership.handleHostReports(live, {});
-    bench.order(2);
-    CHECK(bench.orders.back().host != declared);
-    CHECK(bench.orders.back().host.ends_with("0"));
+    fixture.membership.handleHostReports(live, {});
+    fixture.submit(2);
+    CHECK(fixture.orders.back().host != declared);
+    CHECK(fixture.orders.back().host.ends_with("0"));
 }
 
-/// The control: few greet each other at once, and one that is declared may be long gone.
-TEST(PieceRouter, AmongFewOnlyThoseHeardOfBatch)
+/// Control case: in a small cluster heartbeats arrive at once, and a declared host may be gone.
+TEST(PieceRouter, SmallClusterChoosesOnlyKnownLiveHosts)
 {
-    StartingBench bench(9);
-    bench.order(1);
-    STRCMP_EQUAL("h1", bench.orders[0].host.c_str());
+    StartingFixture fixture(9);
+    fixture.submit(1);
+    STRCMP_EQUAL("h1", fixture.orders[0].host.c_str());
 }
--- a/unittests/Kernel/resultbufferusagetest.cpp
+++ b/unittests/Kernel/resultbufferusagetest.cpp
@@ -19,7 +19,7 @@
     ResultBufferUsage usage;
 };
 
-TEST(ResultBufferUsage, AResultTakesRoomUntilItIsFreedOrItsLifeEnds)
+TEST(ResultBufferUsage, CountsAResultUntilItIsFreedOrExpires)
 {
     usage.add("a", result("e1", "h1"));
     usage.add("b", result("e1", "h1"));
@@ -36,7 +36,7 @@
     LONGS_EQUAL(0, usage.bytesAt("e2"));
 }
 
-TEST(ResultBufferUsage, AResultThatIsToldTwiceTakesRoomOnce)
+TEST(ResultBufferUsage, CountsAResultThatIsReportedTwiceOnce)
 {
     usage.add("a", result("e1", "h1"));
     usage.add("a", result("e1", "h1"));
@@ -45,7 +45,7 @@
     LONGS_EQUAL(0, usage.bytesAt("e1"));
 }
 
-TEST(ResultBufferUsage, WhatOneDaemonOrderedIsDroppedAlone)
+TEST(ResultBufferUsage, RemovesOnlyTheResultsOfOneDaemon)
 {
     usage.add("a", result("e1", "h1"));
     usage.add("b", result("e1", "h2"));
@@ -55,7 +55,7 @@
     LONGS_EQUAL(0, usage.bytesAt("e2"));
 }
 
-TEST(ResultBufferUsage, AnEndpointWithoutRoomIsFullForAWhile)
+TEST(ResultBufferUsage, TreatsAnEndpointAsFullForALimitedTime)
 {
     usage.recordBufferFull("e1", begin + milliseconds(150));
     CHECK(usage.isFull("e1", begin + milliseconds(149)));
