--- a/unittests/Kernel/fleetfixture.h
+++ b/unittests/Kernel/fleetfixture.h
@@ -1,9 +1,9 @@
-//===- fleetfixture.h - Many daemons' controls on one clock -----*- C++ -*-===//
+//===- fleetfixture.h - Simulated fleet of control machines -----*- C++ -*-===//
 ///
 /// \file
-/// Controls of many daemons that hear each other after one step of a virtual clock, and a
-/// store that lists them, and holds what an operator and the endpoints declared. Counts what
-/// they send, to how many others, and what they ask of the store.
+/// Control machines of many daemons whose messages arrive after one step of a virtual clock,
+/// and a store with the hosts and the objects declared by operators and endpoints. Counts
+/// messages, receivers and store calls.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,26 +25,26 @@
 
 namespace harelink::testing {
 
-/// What the daemons of a fleet did in a span of time.
+/// The traffic of a fleet during a period.
 struct FleetTraffic
 {
     std::map<std::string, int> messages;                  ///< Sent, by host.
     std::map<std::string, std::size_t> bytes;             ///< Sent, by host.
-    std::map<std::string, std::size_t> heardBytes;        ///< By host.
-    std::map<std::string, std::set<std::string>> targets; ///< By host that sent.
-    std::map<std::string, std::size_t> kinds;             ///< Messages by kind.
-    std::map<std::string, std::size_t> kindBytes;         ///< Their bytes.
+    std::map<std::string, std::size_t> receivedBytes;     ///< By host.
+    std::map<std::string, std::set<std::string>> targets; ///< Receivers, by sending host.
+    std::map<std::string, std::size_t> kinds;             ///< Messages, by kind.
+    std::map<std::string, std::size_t> kindBytes;         ///< Bytes, by kind of message.
     std::map<std::string, int> storeCalls;                ///< By operation and kind.
     std::map<std::string, std::set<std::string>> readers; ///< Hosts, by operation and kind.
 
     template <typename Counts>
-    static std::size_t most(const Counts &counts)
+    static std::size_t maxOf(const Counts &counts)
     {
-        std::size_t most = 0;
+        std::size_t highest = 0;
         for (const auto &[name, count] : counts) {
-            most = std::max(most, static_cast<std::size_t>(count));
+            highest = std::max(highest, static_cast<std::size_t>(count));
         }
-        return most;
+        return highest;
     }
     template <typename Counts>
     static std::size_t total(const Counts &counts)
@@ -55,27 +55,27 @@
         }
         return sum;
     }
-    /// The most others that one host sent something to.
-    [[nodiscard]] std::size_t mostTargets() const
+    /// Returns the largest number of receivers of one host.
+    [[nodiscard]] std::size_t maxTargets() const
     {
-        std::size_t most = 0;
+        std::size_t highest = 0;
         for (const auto &[name, others] : targets) {
-            most = std::max(most, others.size());
+            highest = std::max(highest, others.size());
         }
-        return most;
+        return highest;
     }
 };
 
-/// The fleet.
+/// A fleet of control machines.
 class ControlFleet
 {
 public:
-    /// How the fleet is laid out.
+    /// The size and layout of the fleet.
     struct Layout
     {
         int hosts = 0;
         int dataCentres = 5;
-        int able = 3; ///< Of each data centre, with four times the others' capacity.
+        int highCapacityHosts = 3; ///< Per data centre, with four times the others' capacity.
         int endpoints = 0;
         std::size_t maxMeshPeers = ControlOptions{}.maxMeshPeers;
         std::size_t watchers = 6;
@@ -91,7 +91,7 @@
             options.dataCentre = fmt::format("dc{}", i % layout.dataCentres);
             options.incarnation = 100 + static_cast<Incarnation>(i);
             options.keepsClaims = false;
-            options.capacity = i < layout.able * layout.dataCentres ? 0.5 : 0.12;
+            options.capacity = i < layout.highCapacityHosts * layout.dataCentres ? 0.5 : 0.12;
             options.maxMeshPeers = layout.maxMeshPeers;
             options.watchersPerDataCentre = layout.watchers;
             options.hostKind = hostKind;
@@ -116,25 +116,26 @@
     }
     void start(const std::string &host)
     {
-        constexpr Incarnation startDistance = 100'000;
-        m_options.at(host).incarnation += startDistance;
+        constexpr Incarnation incarnationStep = 100'000;
+        m_options.at(host).incarnation += incarnationStep;
         m_hosts[host] = std::make_unique<ControlMachine>(m_clock, m_options.at(host));
     }
     void endAll()
     {
         m_hosts.clear();
-        m_held.clear();
-        m_onTheWay.clear();
+        m_openWatches.clear();
+        m_inTransit.clear();
     }
     void kill(const std::string &host)
     {
         m_hosts.erase(host);
-        std::erase_if(m_held, [&host](const Held &held) { return held.host == host; });
+        std::erase_if(m_openWatches,
+                      [&host](const OpenWatch &watch) { return watch.host == host; });
     }
-    /// The store answers nobody, or all again.
-    void setStoreAway(bool isAway) { m_isStoreAway = isAway; }
+    /// Sets whether the store refuses all calls.
+    void setStoreUnavailable(bool isUnavailable) { m_isStoreUnavailable = isUnavailable; }
 
-    /// Puts an object into the store; the watches that wait hear of it.
+    /// Puts an object into the store, which answers the open watches of its kind.
     void declare(const std::string &kind, const std::string &name, const std::string &spec)
     {
         PlatformObject &object = m_objects[{kind, name}];
@@ -147,18 +148,18 @@
         constexpr std::chrono::milliseconds step{25};
         for (const TimePoint end = m_clock.now() + time; m_clock.now() < end;) {
             m_clock.advance(step);
-            for (const OnTheWay &message : std::exchange(m_onTheWay, {})) {
+            for (const Transit &message : std::exchange(m_inTransit, {})) {
                 deliver(message);
             }
             answerWatches();
             for (auto &[name, host] : m_hosts) {
-                turn(name, *host);
+                tick(name, *host);
             }
         }
     }
 
-    /// What was sent and asked since the last call.
-    [[nodiscard]] FleetTraffic takeTraffic() { return std::exchange(m_traffic, {}); }
+    /// Returns and clears the traffic since the last call.
+    [[nodiscard]] FleetTraffic drainTraffic() { return std::exchange(m_traffic, {}); }
     [[nodiscard]] std::vector<std::string> hosts() const
     {
         std::vector<std::string> names;
@@ -171,12 +172,12 @@
     {
         return *m_hosts.at(host);
     }
-    [[nodiscard]] bool isAble(const std::string &host) const
+    [[nodiscard]] bool hasHighCapacity(const std::string &host) const
     {
         return m_options.at(host).capacity > 0.4;
     }
-    /// How many hosts have all that is declared in force.
-    [[nodiscard]] std::size_t upToDate() const
+    /// Returns the number of hosts with the latest revision in force.
+    [[nodiscard]] std::size_t upToDateHosts() const
     {
         std::size_t count = 0;
         for (const auto &[name, host] : m_hosts) {
@@ -184,29 +185,29 @@
         }
         return count;
     }
-    /// The fewest live peers that a host knows.
-    [[nodiscard]] std::size_t fewestPeers() const
+    /// Returns the smallest number of live peers that a host knows.
+    [[nodiscard]] std::size_t minLivePeers() const
     {
-        std::size_t fewest = m_hosts.size();
+        std::size_t lowest = m_hosts.size();
         for (const auto &[name, host] : m_hosts) {
-            fewest = std::min(fewest, host->membership().livePeers().size());
+            lowest = std::min(lowest, host->membership().livePeers().size());
         }
-        return fewest;
+        return lowest;
     }
 
-    /// An endpoint ends under a request at \p host, which had sent it 100 ms ago.
-    void endUnder(const std::string &host, const Hash128 &digest, const std::string &endpoint)
+    /// Breaks a call of \p host that was sent 100 ms ago, as if its endpoint had crashed.
+    void breakCall(const std::string &host, const Hash128 &digest, const std::string &endpoint)
     {
         BrokenCall call;
         call.digest = digest;
         call.pool = "engines";
-        call.endpoint = endpoint; // Not declared any more: nobody has to be asked.
+        call.endpoint = endpoint; // Not declared any more, so no probe is needed.
         call.brokeAt = m_clock.now();
         call.sentAt = call.brokeAt - std::chrono::milliseconds(100);
         m_hosts.at(host)->handle(call);
     }
-    /// How many hosts run requests with \p digest no more.
-    [[nodiscard]] std::size_t keptFrom(const Hash128 &digest) const
+    /// Returns the number of hosts with a quarantine of \p digest.
+    [[nodiscard]] std::size_t hostsWithQuarantine(const Hash128 &digest) const
     {
         std::size_t count = 0;
         for (const auto &[name, host] : m_hosts) {
@@ -222,40 +223,40 @@
 private:
     static constexpr const char *hostKind = "hosts";
 
-    /// A watch that waits.
-    struct Held
+    /// A watch without an answer yet.
+    struct OpenWatch
     {
         std::string host;
         PlatformCall call;
         TimePoint until;
     };
 
-    /// A message, and its bytes on the wire.
-    struct OnTheWay
+    /// A message in transit, with its encoded size.
+    struct Transit
     {
         PeerSend send;
         std::size_t bytes = 0;
     };
 
-    void deliver(const OnTheWay &message)
+    void deliver(const Transit &message)
     {
         const auto to = m_hosts.find(message.send.host);
         if (to != m_hosts.end()) {
-            m_traffic.heardBytes[message.send.host] += message.bytes;
+            m_traffic.receivedBytes[message.send.host] += message.bytes;
             to->second->handle(message.send.message);
         }
     }
-    void turn(const std::string &name, ControlMachine &host)
+    void tick(const std::string &name, ControlMachine &host)
     {
         host.tick();
         ControlOutput output = host.drainOutput();
         for (const PlatformCall &call : output.calls) {
-            take(name, call, host);
+            handleStoreCall(name, call, host);
         }
         for (PeerSend &send : output.sends) {
             const std::size_t bytes = encodePeerMessage(send.message).size();
             count(name, send, bytes);
-            m_onTheWay.push_back({std::move(send), bytes});
+            m_inTransit.push_back({std::move(send), bytes});
         }
     }
     void count(const std::string &name, const PeerSend &send, std::size_t size)
@@ -288,34 +289,35 @@
 
     // The store ---------------------------------------------------------------
 
-    void take(const std::string &name, const PlatformCall &call, ControlMachine &host)
+    void handleStoreCall(const std::string &name, const PlatformCall &call, ControlMachine &host)
     {
         const std::string what = fmt::format("{} {}", toText(call.operation), call.kind);
         ++m_traffic.storeCalls[what];
         m_traffic.readers[what].insert(name);
-        if (m_isStoreAway) {
+        if (m_isStoreUnavailable) {
             PlatformResult refused;
             refused.id = call.id;
             refused.outcome = PlatformOutcome::Refused;
             host.handle(refused);
             return;
         }
-        if (call.operation == PlatformOperation::Watch && newsOf(call).objects.empty()) {
-            m_held.push_back({name, call, m_clock.now() + call.wait});
+        if (call.operation == PlatformOperation::Watch && updatesFor(call).objects.empty()) {
+            m_openWatches.push_back({name, call, m_clock.now() + call.wait});
             return;
         }
-        host.handle(answerTo(name, call));
+        host.handle(answerFor(name, call));
     }
     void answerWatches()
     {
-        std::vector<Held> waiting = std::exchange(m_held, {});
-        for (Held &held : waiting) {
-            const bool isDue = m_clock.now() >= held.until || !newsOf(held.call).objects.empty();
-            const auto host = m_hosts.find(held.host);
+        std::vector<OpenWatch> waiting = std::exchange(m_openWatches, {});
+        for (OpenWatch &watch : waiting) {
+            const bool isDue =
+                m_clock.now() >= watch.until || !updatesFor(watch.call).objects.empty();
+            const auto host = m_hosts.find(watch.host);
             if (!isDue) {
-                m_held.push_back(std::move(held));
+                m_openWatches.push_back(std::move(watch));
             } else if (host != m_hosts.end()) {
-                host->second->handle(newsOf(held.call));
+                host->second->handle(updatesFor(watch.call));
             }
         }
     }
@@ -323,7 +325,7 @@
     {
         return ("," + call.kind + ",").find("," + kind + ",") != std::string::npos;
     }
-    [[nodiscard]] PlatformResult newsOf(const PlatformCall &call) const
+    [[nodiscard]] PlatformResult updatesFor(const PlatformCall &call) const
     {
         PlatformResult result;
         result.id = call.id;
@@ -336,11 +338,11 @@
         }
         return result;
     }
-    PlatformResult answerTo(const std::string &name, const PlatformCall &call)
+    PlatformResult answerFor(const std::string &name, const PlatformCall &call)
     {
         PlatformResult result;
         if (call.operation == PlatformOperation::Hosts) {
-            for (const auto &[key, object] : m_declared) {
+            for (const auto &[key, object] : m_declaredHosts) {
                 result.objects.push_back(object);
             }
         } else if (call.operation == PlatformOperation::Put) {
@@ -348,7 +350,7 @@
         } else {
             PlatformCall all = call;
             all.since = call.operation == PlatformOperation::List ? 0 : call.since;
-            result = newsOf(all);
+            result = updatesFor(all);
         }
         result.id = call.id;
         result.outcome = PlatformOutcome::Ok;
@@ -371,7 +373,7 @@
 
     PlatformResult declareHost(const std::string &name, const PlatformCall &call)
     {
-        PlatformObject &object = m_declared[name];
+        PlatformObject &object = m_declaredHosts[name];
         PlatformResult result;
         result.id = call.id;
         result.outcome = PlatformOutcome::Conflict;
@@ -388,13 +390,13 @@
     ManualClock m_clock;
     std::map<std::string, ControlOptions> m_options;
     std::map<std::string, std::unique_ptr<ControlMachine>> m_hosts;
-    std::vector<OnTheWay> m_onTheWay;
-    std::vector<Held> m_held;
+    std::vector<Transit> m_inTransit;
+    std::vector<OpenWatch> m_openWatches;
     std::map<std::pair<std::string, std::string>, PlatformObject> m_objects;
-    std::map<std::string, PlatformObject> m_declared; ///< Hosts, as they declared themselves.
+    std::map<std::string, PlatformObject> m_declaredHosts; ///< By host.
     Version m_revision = 0;
     Version m_hostRevision = 0;
-    bool m_isStoreAway = false;
+    bool m_isStoreUnavailable = false;
     FleetTraffic m_traffic;
 };
 
--- a/unittests/Kernel/fleettest.cpp
+++ b/unittests/Kernel/fleettest.cpp
@@ -1,4 +1,4 @@
-//===- fleettest.cpp - Tests of hundreds of daemons -----------------------===//
+//===- fleettest.cpp - Tests with hundreds of daemons ---------------------===//
 
 #include "fleetfixture.h"
 
@@ -11,250 +11,252 @@
 
 namespace {
 
-// Under a sanitizer a fleet takes some twenty times as long, and what that looks for does not
-// hang on the size: the same checks run on a smaller one.
+// Under a sanitizer a fleet takes about twenty times as long, and the faults that sanitizers
+// detect do not depend on its size. The same checks run on a smaller fleet.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr int fewHosts = 60;
-constexpr int manyHosts = 150;
+constexpr int smallFleetHosts = 60;
+constexpr int largeFleetHosts = 150;
 #else
-constexpr int fewHosts = 100;
-constexpr int manyHosts = 300;
+constexpr int smallFleetHosts = 100;
+constexpr int largeFleetHosts = 300;
 #endif
 
 } // namespace
 
 TEST_GROUP(Fleet){};
 
-/// What is asked for at each message must not cost what grows with the hosts.
-TEST(Fleet, ListsOfHostsAreMadeAtChangesAndNotAtMessages)
+/// The lists are read at each message, so rebuilding them each time would cost time that grows
+/// with the number of hosts.
+TEST(Fleet, HostListsAreRebuiltAtChangesAndNotAtMessages)
 {
     ControlFleet fleet({.hosts = 60, .dataCentres = 3, .endpoints = 10});
     fleet.startAll();
     fleet.run(seconds(6));
-    (void)fleet.takeTraffic();
+    (void)fleet.drainTraffic();
     std::map<std::string, std::uint64_t> before;
     for (const std::string &host : fleet.hosts()) {
         before[host] = fleet.control(host).membership().listsVersion();
     }
-    constexpr int secondsPlayed = 4;
-    fleet.run(seconds(secondsPlayed));
-    const FleetTraffic traffic = fleet.takeTraffic();
-    CHECK(FleetTraffic::total(traffic.messages) > std::size_t{60} * secondsPlayed);
+    constexpr int simulatedSeconds = 4;
+    fleet.run(seconds(simulatedSeconds));
+    const FleetTraffic traffic = fleet.drainTraffic();
+    CHECK(FleetTraffic::total(traffic.messages) > std::size_t{60} * simulatedSeconds);
     for (const std::string &host : fleet.hosts()) {
-        const std::uint64_t made =
+        const std::uint64_t rebuilt =
             fleet.control(host).membership().listsVersion() - before.at(host);
-        // A relay hears of each other data centre apart.
-        const std::uint64_t most = fleet.isAble(host) ? 8 : 3;
-        CHECK(made <= most * secondsPlayed);
+        // A relay receives a separate report of each other data centre.
+        const std::uint64_t maxRebuilds = fleet.hasHighCapacity(host) ? 8 : 3;
+        CHECK(rebuilt <= maxRebuilds * simulatedSeconds);
     }
 }
 
-/// A host that falls silent leaves the lists though no message says so.
-TEST(Fleet, AHostThatFallsSilentLeavesTheLists)
+/// A dead host must be removed from the lists although no message announces it.
+TEST(Fleet, DeadHostIsRemovedFromTheLists)
 {
     ControlFleet fleet({.hosts = 8, .dataCentres = 1});
     fleet.startAll();
     fleet.run(seconds(2));
-    LONGS_EQUAL(7, fleet.fewestPeers());
+    LONGS_EQUAL(7, fleet.minLivePeers());
     fleet.kill("h0007");
     fleet.run(milliseconds(1200));
-    LONGS_EQUAL(6, fleet.fewestPeers());
+    LONGS_EQUAL(6, fleet.minLivePeers());
     LONGS_EQUAL(7, fleet.control("h0000").membership().candidates().size());
 }
 
 namespace {
 
-/// What one daemon of a fleet sends in a settled second, of those that are many, and of those
-/// that are able.
-struct SettledSecond
+/// The traffic per second of a fleet in steady state. The means are per daemon without high
+/// capacity, the maxima over all daemons.
+struct SteadyTraffic
 {
-    double messagesOfMany = 0; ///< Mean.
-    double bytesOfMany = 0;
-    double bytesHeardByMany = 0;
-    std::size_t mostMessages = 0; ///< Of any, relays among them.
-    std::size_t mostLinks = 0;
+    double meanMessages = 0;
+    double meanBytes = 0;
+    double meanReceivedBytes = 0;
+    std::size_t maxMessages = 0; ///< Includes relays.
+    std::size_t maxLinks = 0;
 };
 
-SettledSecond settledSecond(ControlFleet &fleet)
+SteadyTraffic steadyTraffic(ControlFleet &fleet)
 {
-    (void)fleet.takeTraffic();
-    constexpr int secondsPlayed = 4;
-    fleet.run(seconds(secondsPlayed));
-    FleetTraffic traffic = fleet.takeTraffic();
-    SettledSecond result;
+    (void)fleet.drainTraffic();
+    constexpr int simulatedSeconds = 4;
+    fleet.run(seconds(simulatedSeconds));
+    FleetTraffic traffic = fleet.drainTraffic();
+    SteadyTraffic result;
     double many = 0;
     for (const std::string &host : fleet.hosts()) {
-        if (fleet.isAble(host)) {
+        if (fleet.hasHighCapacity(host)) {
             continue;
         }
         many += 1;
-        result.messagesOfMany += traffic.messages[host];
-        result.bytesOfMany += static_cast<double>(traffic.bytes[host]);
-        result.bytesHeardByMany += static_cast<double>(traffic.heardBytes[host]);
+        result.meanMessages += traffic.messages[host];
+        result.meanBytes += static_cast<double>(traffic.bytes[host]);
+        result.meanReceivedBytes += static_cast<double>(traffic.receivedBytes[host]);
     }
-    result.messagesOfMany /= many * secondsPlayed;
-    result.bytesOfMany /= many * secondsPlayed;
-    result.bytesHeardByMany /= many * secondsPlayed;
-    result.mostMessages = FleetTraffic::most(traffic.messages) / secondsPlayed;
-    result.mostLinks = traffic.mostTargets();
+    result.meanMessages /= many * simulatedSeconds;
+    result.meanBytes /= many * simulatedSeconds;
+    result.meanReceivedBytes /= many * simulatedSeconds;
+    result.maxMessages = FleetTraffic::maxOf(traffic.messages) / simulatedSeconds;
+    result.maxLinks = traffic.maxTargets();
     return result;
 }
 
 } // namespace
 
-/// What one of the many daemons sends and hears is the same among many as among few, and what
-/// a relay does grows with its data centre's hosts at a slower pace.
-TEST(Fleet, WhatADaemonTellsDoesNotGrowWithTheHosts)
+/// The traffic of a daemon without high capacity must not depend on the number of hosts, and that
+/// of a relay must grow more slowly than the hosts of its data centre.
+TEST(Fleet, TrafficOfADaemonDoesNotGrowWithTheNumberOfHosts)
 {
-    ControlFleet small({.hosts = fewHosts, .endpoints = 100});
+    ControlFleet small({.hosts = smallFleetHosts, .endpoints = 100});
     small.startAll();
     small.run(seconds(6));
-    const SettledSecond few = settledSecond(small);
-    ControlFleet large({.hosts = manyHosts, .endpoints = 100});
+    const SteadyTraffic few = steadyTraffic(small);
+    ControlFleet large({.hosts = largeFleetHosts, .endpoints = 100});
     large.startAll();
     large.run(seconds(6));
-    const SettledSecond many = settledSecond(large);
-    LONGS_EQUAL(manyHosts - 1, large.fewestPeers());
-    CHECK(many.messagesOfMany <= few.messagesOfMany);
-    CHECK(many.messagesOfMany < 5);
-    CHECK(many.bytesOfMany < few.bytesOfMany * 1.1);
-    CHECK(many.bytesHeardByMany < few.bytesHeardByMany * 1.1);
-    CHECK(many.bytesHeardByMany < 1000);
-    // Three times the hosts, two thirds of their messages each.
-    CHECK(many.mostMessages < few.mostMessages * 5 / 2);
-    // The control: all tell all.
-    ControlFleet mesh({.hosts = fewHosts, .endpoints = 100, .maxMeshPeers = 1000});
+    const SteadyTraffic many = steadyTraffic(large);
+    LONGS_EQUAL(largeFleetHosts - 1, large.minLivePeers());
+    CHECK(many.meanMessages <= few.meanMessages);
+    CHECK(many.meanMessages < 5);
+    CHECK(many.meanBytes < few.meanBytes * 1.1);
+    CHECK(many.meanReceivedBytes < few.meanReceivedBytes * 1.1);
+    CHECK(many.meanReceivedBytes < 1000);
+    // With three times the hosts, the maximum grows by less than a factor of 2.5.
+    CHECK(many.maxMessages < few.maxMessages * 5 / 2);
+    // As a control, a full mesh.
+    ControlFleet mesh({.hosts = smallFleetHosts, .endpoints = 100, .maxMeshPeers = 1000});
     mesh.startAll();
     mesh.run(seconds(3));
-    CHECK(settledSecond(mesh).messagesOfMany > few.messagesOfMany * 20);
+    CHECK(steadyTraffic(mesh).meanMessages > few.meanMessages * 20);
 }
 
-/// All end and start again, and the store is away: they know each other and the same
+/// All daemons stop and start again together. They must discover each other and agree on the
 /// configuration within the time that a change may take.
-TEST(Fleet, AllThatStartAtOnceMeetAndAgree)
+TEST(Fleet, DaemonsThatStartTogetherDiscoverEachOtherAndAgree)
 {
-    ControlFleet fleet({.hosts = manyHosts, .endpoints = 100});
+    ControlFleet fleet({.hosts = largeFleetHosts, .endpoints = 100});
     fleet.startAll();
     fleet.run(seconds(4));
-    LONGS_EQUAL(manyHosts, fleet.upToDate());
-    LONGS_EQUAL(manyHosts - 1, fleet.fewestPeers());
+    LONGS_EQUAL(largeFleetHosts, fleet.upToDateHosts());
+    LONGS_EQUAL(largeFleetHosts - 1, fleet.minLivePeers());
     fleet.endAll();
     fleet.run(seconds(1));
     fleet.startAll();
-    (void)fleet.takeTraffic();
+    (void)fleet.drainTraffic();
     fleet.run(seconds(4));
-    const FleetTraffic start = fleet.takeTraffic();
-    LONGS_EQUAL(manyHosts, fleet.upToDate());
-    LONGS_EQUAL(manyHosts - 1, fleet.fewestPeers());
-    // A start of all: not more than a settled daemon sends in a few times as long.
-    CHECK(FleetTraffic::total(start.messages) < std::size_t{manyHosts} * 60);
+    const FleetTraffic start = fleet.drainTraffic();
+    LONGS_EQUAL(largeFleetHosts, fleet.upToDateHosts());
+    LONGS_EQUAL(largeFleetHosts - 1, fleet.minLivePeers());
+    // The start takes no more messages than a few times as long in steady state.
+    CHECK(FleetTraffic::total(start.messages) < std::size_t{largeFleetHosts} * 60);
     fleet.declare("ClientAccount", "drivers", R"({"weight": 2})");
     fleet.run(milliseconds(500));
-    LONGS_EQUAL(manyHosts, fleet.upToDate());
+    LONGS_EQUAL(largeFleetHosts, fleet.upToDateHosts());
 }
 
-/// A relay that dies is replaced: a change is in force everywhere, and all know of all.
-TEST(Fleet, WithoutItsRelaysADataCentreGoesOn)
+/// Dead relays must be replaced: all daemons still know each other and apply a change.
+TEST(Fleet, DataCentreContinuesWithoutItsRelays)
 {
     ControlFleet fleet({.hosts = 150, .endpoints = 50});
     fleet.startAll();
     fleet.run(seconds(5));
-    for (const char *able : {"h0000", "h0005", "h0010"}) {
-        fleet.kill(able);
+    for (const char *host : {"h0000", "h0005", "h0010"}) {
+        fleet.kill(host);
     }
     fleet.run(seconds(5));
-    LONGS_EQUAL(146, fleet.fewestPeers());
+    LONGS_EQUAL(146, fleet.minLivePeers());
     fleet.declare("ClientAccount", "drivers", R"({"weight": 3})");
     fleet.run(milliseconds(2500));
-    LONGS_EQUAL(147, fleet.upToDate());
+    LONGS_EQUAL(147, fleet.upToDateHosts());
 }
 
-/// Once the store is back, not all ask it at once: a few of each data centre do.
-TEST(Fleet, AStoreThatReturnsIsNotAskedByAll)
+/// After an outage of the store, only a few daemons of each data centre may call it.
+TEST(Fleet, FewDaemonsCallAStoreAfterAnOutage)
 {
     ControlFleet fleet({.hosts = 150, .endpoints = 50});
     fleet.startAll();
     fleet.run(seconds(6));
-    (void)fleet.takeTraffic();
-    fleet.setStoreAway(true);
+    (void)fleet.drainTraffic();
+    fleet.setStoreUnavailable(true);
     fleet.run(seconds(9));
-    const FleetTraffic away = fleet.takeTraffic();
-    fleet.setStoreAway(false);
+    const FleetTraffic outage = fleet.drainTraffic();
+    fleet.setStoreUnavailable(false);
     fleet.declare("ClientAccount", "drivers", R"({"weight": 4})");
     fleet.run(seconds(2));
-    const FleetTraffic back = fleet.takeTraffic();
-    LONGS_EQUAL(150, fleet.upToDate());
+    const FleetTraffic recovery = fleet.drainTraffic();
+    LONGS_EQUAL(150, fleet.upToDateHosts());
     const std::size_t all = 150;
-    CHECK(FleetTraffic::total(back.storeCalls) < all);
-    for (const auto &[what, hosts] : back.readers) {
+    CHECK(FleetTraffic::total(recovery.storeCalls) < all);
+    for (const auto &[what, hosts] : recovery.readers) {
         CHECK_TEXT(hosts.size() < all / 2, what.c_str());
     }
-    CHECK(FleetTraffic::total(away.storeCalls) < all * 10);
+    CHECK(FleetTraffic::total(outage.storeCalls) < all * 10);
 }
 
-/// What each of those that start together asks of the store: to be declared, for the hosts,
-/// and for what is declared. Few watch.
-TEST(Fleet, AStartOfAllAsksLittleOfTheStore)
+/// Daemons that start together each declare themselves, read the host list and list the
+/// objects. Only few watch.
+TEST(Fleet, StartOfAllDaemonsTakesFewStoreCalls)
 {
     ControlFleet fleet({.hosts = 150, .endpoints = 50});
     const std::size_t all = 150;
     for (int start = 0; start < 2; ++start) {
         fleet.startAll();
         fleet.run(seconds(5));
-        const FleetTraffic traffic = fleet.takeTraffic();
-        LONGS_EQUAL(all, fleet.upToDate());
-        LONGS_EQUAL(all - 1, fleet.fewestPeers());
+        const FleetTraffic traffic = fleet.drainTraffic();
+        LONGS_EQUAL(all, fleet.upToDateHosts());
+        LONGS_EQUAL(all - 1, fleet.minLivePeers());
         LONGS_EQUAL(all, traffic.storeCalls.at("put hosts"));
         CHECK(FleetTraffic::total(traffic.storeCalls) < all * 4);
         fleet.endAll();
     }
 }
 
-/// A request comes again at a host that none of the others hears of itself, and ends an endpoint
-/// each time. With three ends behind it all know it, well within the 3 s in which daemons that
-/// are in touch have to; it is told to two hosts each time, however many there are.
-TEST(Fleet, WhatEndsEndpointsIsKnownEverywhereAfterTheThirdEnd)
+/// A request arrives at three hosts that exchange no messages directly, and crashes an endpoint
+/// each time. After the third crash all daemons must have quarantined it, within 1 s here and
+/// so well within the 3 s that connected daemons may take. Each crash is reported to two hosts,
+/// regardless of the number of hosts.
+TEST(Fleet, RequestThatCrashesEndpointsIsQuarantinedEverywhereAfterTheThirdCrash)
 {
-    constexpr std::size_t hosts = fewHosts;
+    constexpr std::size_t hosts = smallFleetHosts;
     const Hash128 digest = hash128("ends endpoints");
-    ControlFleet fleet({.hosts = fewHosts, .endpoints = 20});
+    ControlFleet fleet({.hosts = smallFleetHosts, .endpoints = 20});
     fleet.startAll();
     fleet.run(seconds(6));
-    (void)fleet.takeTraffic();
+    (void)fleet.drainTraffic();
     for (const char *host : {"h0021", "h0042", "h0053"}) {
-        LONGS_EQUAL(0, fleet.keptFrom(digest));
-        fleet.endUnder(host, digest, std::string("gone-") + host);
+        LONGS_EQUAL(0, fleet.hostsWithQuarantine(digest));
+        fleet.breakCall(host, digest, std::string("gone-") + host);
         fleet.run(milliseconds(400));
     }
-    const FleetTraffic traffic = fleet.takeTraffic();
+    const FleetTraffic traffic = fleet.drainTraffic();
     CHECK(traffic.kinds.at("crash reports") <= 6);
     CHECK(traffic.storeCalls.at("put Quarantine") <= 3);
     fleet.run(milliseconds(600));
-    LONGS_EQUAL(hosts, fleet.keptFrom(digest));
+    LONGS_EQUAL(hosts, fleet.hostsWithQuarantine(digest));
 
-    // It outlives the end of all daemons.
+    // The quarantine persists when all daemons restart.
     fleet.endAll();
     fleet.startAll();
     fleet.run(milliseconds(2500));
-    LONGS_EQUAL(hosts, fleet.keptFrom(digest));
+    LONGS_EQUAL(hosts, fleet.hostsWithQuarantine(digest));
 }
 
-TEST(Fleet, WhatEndsEndpointsWhileTheStoreIsAwayIsDeclaredWhenItIsBack)
+TEST(Fleet, QuarantineDuringAnOutageOfTheStoreIsDeclaredAfterIt)
 {
     constexpr std::size_t hosts = 30;
     const Hash128 digest = hash128("ends endpoints");
     ControlFleet fleet({.hosts = hosts, .dataCentres = 3, .endpoints = 20});
     fleet.startAll();
     fleet.run(seconds(6));
-    fleet.setStoreAway(true);
+    fleet.setStoreUnavailable(true);
     for (const char *host : {"h0021", "h0012", "h0013"}) {
         fleet.run(milliseconds(400));
-        fleet.endUnder(host, digest, std::string("gone-") + host);
+        fleet.breakCall(host, digest, std::string("gone-") + host);
     }
     fleet.run(seconds(3));
-    CHECK(fleet.keptFrom(digest) >= 1);
-    CHECK(fleet.keptFrom(digest) <= 3);
-    fleet.setStoreAway(false);
+    CHECK(fleet.hostsWithQuarantine(digest) >= 1);
+    CHECK(fleet.hostsWithQuarantine(digest) <= 3);
+    fleet.setStoreUnavailable(false);
     fleet.run(seconds(3));
-    LONGS_EQUAL(hosts, fleet.keptFrom(digest));
+    LONGS_EQUAL(hosts, fleet.hostsWithQuarantine(digest));
 }
--- a/utils/bench/fleet.cpp
+++ b/utils/bench/fleet.cpp
@@ -39,9 +39,9 @@
                "others; the most heard by one: {} KB\n",
                FleetTraffic::total(traffic.messages),
                FleetTraffic::total(traffic.bytes) / bytesPerKilobyte,
-               FleetTraffic::most(traffic.messages),
-               FleetTraffic::most(traffic.bytes) / bytesPerKilobyte, traffic.mostTargets(),
-               FleetTraffic::most(traffic.heardBytes) / bytesPerKilobyte);
+               FleetTraffic::maxOf(traffic.messages),
+               FleetTraffic::maxOf(traffic.bytes) / bytesPerKilobyte, traffic.maxTargets(),
+               FleetTraffic::maxOf(traffic.receivedBytes) / bytesPerKilobyte);
     for (const auto &[kind, count] : traffic.kinds) {
         fmt::print("    {}: {} messages, {} KB\n", kind, count,
                    traffic.kindBytes.at(kind) / bytesPerKilobyte);
@@ -54,13 +54,13 @@
 
 void play(ControlFleet &fleet, const char *what, milliseconds time)
 {
-    (void)fleet.takeTraffic();
+    (void)fleet.drainTraffic();
     const std::clock_t begin = std::clock();
     fleet.run(time);
     const double taken = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
     fmt::print("{}, {} ms: {:.2f} s of processor time; up to date: {}; fewest peers known: {}\n",
-               what, time.count(), taken, fleet.upToDate(), fleet.fewestPeers());
-    print(fleet.takeTraffic());
+               what, time.count(), taken, fleet.upToDateHosts(), fleet.minLivePeers());
+    print(fleet.drainTraffic());
 }
 
 } // namespace
@@ -70,7 +70,7 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     ControlFleet fleet({.hosts = FLAGS_hosts,
                         .dataCentres = FLAGS_data_centres,
-                        .able = FLAGS_able,
+                        .highCapacityHosts = FLAGS_able,
                         .endpoints = FLAGS_endpoints});
     fleet.startAll();
     for (int i = 0; i < 8; ++i) {
