--- a/include/harelink/Daemon/worker.h
+++ b/include/harelink/Daemon/worker.h
@@ -117,7 +117,7 @@
     void perform(const EndpointNoticed &action);
     void perform(const EndpointReplaced &action);
     void perform(const CheckColdState &action);
-    void perform(const CallBroken &action);
+    void perform(const BrokenCallReport &action);
     void perform(const RequestCleared &action);
     void carry(const SendStage &action);
     void answerProxied(const Caller &caller, const AnswerCaller &action);
--- a/include/harelink/Kernel/claimledger.h
+++ b/include/harelink/Kernel/claimledger.h
@@ -65,7 +65,7 @@
     std::uint64_t reads = 0;
     std::uint64_t updates = 0;
     std::uint64_t conflicts = 0;
-    std::uint64_t unansweredCalls = 0;
+    std::uint64_t unansweredUpdates = 0;
     std::uint64_t granted = 0;
     std::uint64_t operations = 0;
 };
@@ -81,7 +81,7 @@
     using HostLookup = std::function<std::optional<std::string>(Incarnation)>;
 
     /// \param clock must outlive the ledger.
-    BasicClaimLedger(const Clock &clock, HostLookup hostOf, ClaimLedgerOptions options);
+    BasicClaimLedger(const Clock &clock, HostLookup hostLookup, ClaimLedgerOptions options);
 
     /// Handles a claim of \p host; empty for this host.
     void claim(const ClaimRequest &request, const std::string &host);
--- a/include/harelink/Kernel/claimledgerimpl.h
+++ b/include/harelink/Kernel/claimledgerimpl.h
@@ -43,10 +43,10 @@
 } // namespace claimledger
 
 template <GuardPolicy G>
-BasicClaimLedger<G>::BasicClaimLedger(const Clock &clock, HostLookup hostOf,
+BasicClaimLedger<G>::BasicClaimLedger(const Clock &clock, HostLookup hostLookup,
                                       ClaimLedgerOptions options)
     : m_clock(clock)
-    , m_hostLookup(std::move(hostOf))
+    , m_hostLookup(std::move(hostLookup))
     , m_options(options)
 {
     for (Bucket &bucket : m_buckets) {
@@ -163,10 +163,10 @@
     if (record.state == ClaimRecord::State::Abandoned) {
         return {ClaimVerdict::MayHaveRun, {}};
     }
-    const bool isOwn = G::claimsPerRequest
-                           ? record.claimant == request.claimant
-                           : record.claimant.incarnation == request.claimant.incarnation;
-    if (isOwn) {
+    const bool isSameClaimant = G::claimsPerRequest
+                                    ? record.claimant == request.claimant
+                                    : record.claimant.incarnation == request.claimant.incarnation;
+    if (isSameClaimant) {
         return {ClaimVerdict::Granted, {}};
     }
     if (!isLive(record.claimant.incarnation)) {
@@ -212,8 +212,8 @@
 {
     const bool isAbsent = !records.contains(finish.key);
     ClaimRecord &record = records[finish.key];
-    const bool isOwn = record.claimant == finish.claimant;
-    if (isAbsent || (isOwn && record.state == ClaimRecord::State::Claimed)) {
+    const bool isSameClaimant = record.claimant == finish.claimant;
+    if (isAbsent || (isSameClaimant && record.state == ClaimRecord::State::Claimed)) {
         record.claimant = finish.claimant;
         record.state = ClaimRecord::State::Released;
         record.changedAt = m_clock.wallNow();
@@ -393,7 +393,7 @@
         commit(bucket, result.version);
         return;
     case PlatformOutcome::Unanswered:
-        ++m_counters.unansweredCalls;
+        ++m_counters.unansweredUpdates;
         if (!G::resolvesWritesByVersion) {
             commit(bucket, bucket.version);
             return;
@@ -467,9 +467,9 @@
             continue;
         }
         const auto &request = std::get<ClaimRequest>(operation.payload);
-        const ApplyResult &results = bucket.results[i];
-        if (results.verdict) {
-            reply(request, operation.host, *results.verdict, results.answer);
+        const ApplyResult &result = bucket.results[i];
+        if (result.verdict) {
+            reply(request, operation.host, *result.verdict, result.answer);
             continue;
         }
         bucket.waiting.push_back(std::move(operation));
@@ -482,9 +482,9 @@
 template <GuardPolicy G>
 void BasicClaimLedger<G>::requeueBatch(Bucket &bucket, bool maybeWritten)
 {
-    for (auto at = bucket.batch.rbegin(); at != bucket.batch.rend(); ++at) {
-        at->maybeWritten = at->maybeWritten || maybeWritten;
-        bucket.pending.push_front(std::move(*at));
+    for (auto it = bucket.batch.rbegin(); it != bucket.batch.rend(); ++it) {
+        it->maybeWritten = it->maybeWritten || maybeWritten;
+        bucket.pending.push_front(std::move(*it));
     }
     bucket.batch.clear();
     bucket.results.clear();
--- a/include/harelink/Kernel/claims.h
+++ b/include/harelink/Kernel/claims.h
@@ -19,8 +19,8 @@
 struct ClaimRequest
 {
     RequestId claimant;
-    Hash128 key;        ///< Of account, pipeline and idempotency key.
-    Hash128 digest;     ///< Of the method, path and body.
+    Hash128 key;        ///< Hash of the account, pipeline and idempotency key.
+    Hash128 digest;     ///< Hash of the method, path and body.
     Duration timeout{}; ///< Client timeout; a duration, since hosts do not share a clock.
 };
 
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -217,7 +217,7 @@
         broken.endpoint = call.endpoint;
         broken.sentAt = sentAt;
         broken.brokeAt = m_clock.now();
-        broken.requester = m_membership.hostOf(order.id.request.incarnation).value_or("");
+        broken.requestHost = m_membership.hostOf(order.id.request.incarnation).value_or("");
         handle(std::move(broken));
     }
 }
--- a/include/harelink/Kernel/crashes.h
+++ b/include/harelink/Kernel/crashes.h
@@ -29,12 +29,12 @@
     std::string address; ///< Of the endpoint; empty if this endpoint process is known to be gone.
     TimePoint sentAt;
     TimePoint brokeAt;
-    std::string requester; ///< The host that owns the request; empty for this host.
+    std::string requestHost; ///< The host that owns the request; empty for this host.
 };
 
 /// Action: report a call whose connection closed before the response was complete, which
 /// happens when an endpoint crashes.
-struct CallBroken
+struct BrokenCallReport
 {
     CallId call;
     std::string callerId;     ///< Of a proxied request.
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -228,7 +228,7 @@
 void BasicRequestMachine<G>::reportBrokenCall(const Request &request)
 {
     ++m_counters.brokenCalls;
-    CallBroken action;
+    BrokenCallReport action;
     action.call = request.call();
     action.callerId = request.proxied ? request.proxied->callerId : std::string();
     action.events = request.tokens;
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -233,7 +233,7 @@
 using RequestAction =
     std::variant<SendStage, CancelStage, StreamChunk, AnswerCaller, ClaimRequest, ClaimFinish,
                  OrderPieces, WithdrawPieces, FreeResults, StreamEvents, EndpointReplaced,
-                 EndpointNoticed, CallBroken, RequestCleared, CheckColdState>;
+                 EndpointNoticed, BrokenCallReport, RequestCleared, CheckColdState>;
 
 /// Counts of what a machine did.
 struct RequestCounters
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -401,7 +401,7 @@
     m_control.noticed(action);
 }
 
-void Worker::perform(const CallBroken &action)
+void Worker::perform(const BrokenCallReport &action)
 {
     const BrokenCall &broken = action.broken;
     const Duration sentAgo = broken.brokeAt - broken.sentAt;
--- a/lib/Kernel/crashdetector.cpp
+++ b/lib/Kernel/crashdetector.cpp
@@ -45,8 +45,8 @@
         countCrash(report, call.sentAt, call.brokeAt);
         std::vector<std::string> hosts = countingHostsOf(call.digest);
         // The host that owns the request observes its successful completion.
-        if (!call.requester.empty()) {
-            hosts.push_back(call.requester);
+        if (!call.requestHost.empty()) {
+            hosts.push_back(call.requestHost);
         }
         std::sort(hosts.begin(), hosts.end());
         hosts.erase(std::unique(hosts.begin(), hosts.end()), hosts.end());
--- a/lib/Kernel/quarantinepublisher.cpp
+++ b/lib/Kernel/quarantinepublisher.cpp
@@ -16,7 +16,7 @@
 /// is written again.
 constexpr milliseconds visibilityTimeout{5000};
 /// Maximum number of declared quarantines, about 400 bytes each; the oldest are removed first.
-/// Each of them cost three endpoints, so an installation has only a few.
+/// Each one requires three endpoint crashes, so an installation has only a few.
 constexpr std::size_t maxDeclared = 1000;
 /// Maximum number of obsolete quarantines removed with each new one. More than one, so that a
 /// backlog shrinks.
--- a/test/sim/loadworld.h
+++ b/test/sim/loadworld.h
@@ -271,7 +271,7 @@
     void perform(Host &, const AnswerCaller &action) { m_report.answered(action); }
     void perform(Host &, const ClaimFinish &) {}
     void perform(Host &, const StreamChunk &) {}
-    void perform(Host &, const CallBroken &) {}
+    void perform(Host &, const BrokenCallReport &) {}
     /// Only proxied requests bring the other actions, and none is sent here.
     template <typename Action>
     void perform(Host &, const Action &)
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -625,7 +625,7 @@
                                    host.control->coldShares());
     }
 
-    void perform(Host &host, const CallBroken &action)
+    void perform(Host &host, const BrokenCallReport &action)
     {
         m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start, action.broken);
--- a/unittests/Kernel/crashcountertest.cpp
+++ b/unittests/Kernel/crashcountertest.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-const Hash128 crashing = hash128("guilty");
-const Hash128 unrelated = hash128("innocent");
+const Hash128 crashingRequest = hash128("guilty");
+const Hash128 unrelatedRequest = hash128("innocent");
 
 struct CounterFixture
 {
@@ -44,12 +44,12 @@
 TEST(CrashCounter, ReportsTheThirdConsecutiveCrash)
 {
     CounterFixture fixture;
-    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e1"));
     fixture.clock.advance(milliseconds(500));
-    CHECK_FALSE(fixture.crash(crashing, "e2"));
-    CHECK_FALSE(fixture.crash(unrelated, "e2"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e2"));
+    CHECK_FALSE(fixture.crash(unrelatedRequest, "e2"));
     fixture.clock.advance(milliseconds(500));
-    CHECK_TRUE(fixture.crash(crashing, "e3"));
+    CHECK_TRUE(fixture.crash(crashingRequest, "e3"));
 }
 
 // All endpoints of a pool crash at the same time while a request that is sent continuously
@@ -58,29 +58,29 @@
 {
     CounterFixture fixture;
     for (int i = 0; i < 12; ++i) {
-        CHECK_FALSE(fixture.crash(unrelated, fmt::format("e{}", i)));
+        CHECK_FALSE(fixture.crash(unrelatedRequest, fmt::format("e{}", i)));
         fixture.clock.advance(milliseconds(3));
     }
     fixture.clock.advance(milliseconds(3000));
-    CHECK_FALSE(fixture.crash(unrelated, "e20"));
+    CHECK_FALSE(fixture.crash(unrelatedRequest, "e20"));
 }
 
 TEST(CrashCounter, ForgetsCrashesAfterASuccessfulCompletion)
 {
     CounterFixture fixture;
-    CHECK_FALSE(fixture.crash(unrelated, "e1"));
+    CHECK_FALSE(fixture.crash(unrelatedRequest, "e1"));
     fixture.clock.advance(milliseconds(500));
-    CHECK_FALSE(fixture.crash(unrelated, "e2"));
-    fixture.counter.clear(unrelated);
+    CHECK_FALSE(fixture.crash(unrelatedRequest, "e2"));
+    fixture.counter.clear(unrelatedRequest);
     fixture.clock.advance(milliseconds(500));
-    CHECK_FALSE(fixture.crash(unrelated, "e3"));
+    CHECK_FALSE(fixture.crash(unrelatedRequest, "e3"));
 }
 
 TEST(CrashCounter, IgnoresDuplicateReportsOfACrash)
 {
     CounterFixture fixture;
     for (int i = 0; i < 5; ++i) {
-        CHECK_FALSE(fixture.crash(crashing, "e1"));
+        CHECK_FALSE(fixture.crash(crashingRequest, "e1"));
         fixture.clock.advance(milliseconds(300));
     }
 }
@@ -88,18 +88,18 @@
 TEST(CrashCounter, CountsCrashesOfARestartedEndpoint)
 {
     CounterFixture fixture;
-    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e1"));
     fixture.clock.advance(milliseconds(2500));
-    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e1"));
     fixture.clock.advance(milliseconds(2500));
-    CHECK_TRUE(fixture.crash(crashing, "e1"));
+    CHECK_TRUE(fixture.crash(crashingRequest, "e1"));
 }
 
 TEST(CrashCounter, ForgetsCrashesAfterTheRetentionPeriod)
 {
     CounterFixture fixture;
     for (int i = 0; i < 6; ++i) {
-        CHECK_FALSE(fixture.crash(unrelated, fmt::format("e{}", i)));
+        CHECK_FALSE(fixture.crash(unrelatedRequest, fmt::format("e{}", i)));
         fixture.clock.advance(std::chrono::minutes(31));
     }
 }
@@ -107,15 +107,15 @@
 TEST(CrashCounter, EvictsTheLeastSuspiciousRequestsFirst)
 {
     CounterFixture fixture;
-    CHECK_FALSE(fixture.crash(crashing, "e1"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e1"));
     fixture.clock.advance(milliseconds(500));
-    CHECK_FALSE(fixture.crash(crashing, "e2"));
+    CHECK_FALSE(fixture.crash(crashingRequest, "e2"));
     for (int i = 0; i < 5000; ++i) {
         fixture.clock.advance(milliseconds(1));
         CHECK_FALSE(fixture.crash(hash128(fmt::format("{}", i)), "e3"));
     }
     CHECK(fixture.counter.size() <= 4096);
-    CHECK_TRUE(fixture.crash(crashing, "e4"));
+    CHECK_TRUE(fixture.crash(crashingRequest, "e4"));
 }
 
 TEST_GROUP(CrashConfirmer){};
@@ -123,37 +123,37 @@
 TEST(CrashConfirmer, ConfirmsACrashOnlyIfTheConnectionIsRefused)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(unrelated));
+    confirmer.add(brokenCall(unrelatedRequest));
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(0, confirmer.drainConfirmed().size());
-    confirmer.add(brokenCall(unrelated));
+    confirmer.add(brokenCall(unrelatedRequest));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Unknown});
     LONGS_EQUAL(0, confirmer.drainConfirmed().size());
-    confirmer.add(brokenCall(crashing));
+    confirmer.add(brokenCall(crashingRequest));
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
-    CHECK(confirmer.drainConfirmed().at(0).digest == crashing);
+    CHECK(confirmer.drainConfirmed().at(0).digest == crashingRequest);
 }
 
 // The probe may have reached the endpoint before it crashed.
 TEST(CrashConfirmer, ProbesAgainForACallThatBreaksDuringAProbe)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(unrelated));
-    confirmer.add(brokenCall(crashing));
+    confirmer.add(brokenCall(unrelatedRequest));
+    confirmer.add(brokenCall(crashingRequest));
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Accepted});
     LONGS_EQUAL(1, confirmer.drainProbes().size());
     confirmer.handle(EndpointProbeResult{"e1", ProbeOutcome::Refused});
     const std::vector<BrokenCall> confirmed = confirmer.drainConfirmed();
     LONGS_EQUAL(1, confirmed.size());
-    CHECK(confirmed.at(0).digest == crashing);
+    CHECK(confirmed.at(0).digest == crashingRequest);
 }
 
 TEST(CrashConfirmer, DoesNotProbeAnEndpointKnownToBeGone)
 {
     CrashConfirmer confirmer;
-    confirmer.add(brokenCall(crashing, ""));
+    confirmer.add(brokenCall(crashingRequest, ""));
     LONGS_EQUAL(0, confirmer.drainProbes().size());
     LONGS_EQUAL(1, confirmer.drainConfirmed().size());
 }
--- a/unittests/Kernel/proxiedfixture.h
+++ b/unittests/Kernel/proxiedfixture.h
@@ -169,7 +169,7 @@
         append(withdrawals, only<WithdrawPieces>(actions));
         append(frees, only<FreeResults>(actions));
         append(replaced, only<EndpointReplaced>(actions));
-        append(broken, only<CallBroken>(actions));
+        append(broken, only<BrokenCallReport>(actions));
         append(cleared, only<RequestCleared>(actions));
         append(coldChecks, only<CheckColdState>(actions));
     }
@@ -187,7 +187,7 @@
     std::vector<WithdrawPieces> withdrawals;
     std::vector<FreeResults> frees;
     std::vector<EndpointReplaced> replaced;
-    std::vector<CallBroken> broken;
+    std::vector<BrokenCallReport> broken;
     std::vector<RequestCleared> cleared;
     std::vector<CheckColdState> coldChecks;
 };
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -194,15 +194,15 @@
     }
     fixture.machine.handleBrokenPieceCall(call, fixture.clock.now());
     std::size_t reportsOfHost3 = 0;
-    bool isReported = false;
+    bool isReportedToHost3 = false;
     for (const PeerSend &send : fixture.crashReportsAfterProbe()) {
         const auto &content = std::get<CrashReports>(send.message.content);
         for (const CrashReport &report : content.reports) {
             reportsOfHost3 += report.digest == hash128("of h3") ? 1 : 0;
-            isReported = isReported || send.host == "h3";
+            isReportedToHost3 = isReportedToHost3 || send.host == "h3";
         }
     }
-    CHECK_TRUE(isReported);
+    CHECK_TRUE(isReportedToHost3);
     CHECK(reportsOfHost3 >= 1);
     CHECK(reportsOfHost3 <= 3);
 }
