--- a/include/harelink/Kernel/piecebatcher.h
+++ b/include/harelink/Kernel/piecebatcher.h
@@ -34,7 +34,7 @@
     std::size_t waiting = 0;            ///< Pieces left for later calls.
     std::size_t lackingBufferSpace = 0; ///< Of these, left out for lack of buffer space.
     std::uint64_t allocatedBytes = 0;   ///< Allocated at the endpoint, including this call.
-    std::uint64_t roomBytes = 0;        ///< Total buffer space; 0 if unlimited.
+    std::uint64_t bufferBytes = 0;      ///< Total buffer space; 0 if unlimited.
     Duration longestWait{};             ///< Longest time in the queue of a piece of the call.
 };
 
@@ -108,6 +108,7 @@
     void removeHost(const std::string &host, const Snapshot &snapshot);
     /// Forms all calls that are due.
     void tick(const Snapshot &snapshot);
+    /// Returns when tick() is due next.
     [[nodiscard]] TimePoint nextTick() const;
 
     /// These return what has accumulated since they were last called.
--- a/include/harelink/Kernel/pieceforecast.h
+++ b/include/harelink/Kernel/pieceforecast.h
@@ -30,7 +30,7 @@
 /// each, this condition raised the worth by 0.018, 0.023 and 0.008 (from 0.554 to 0.572,
 /// 0.357 to 0.380 and 0.471 to 0.479).
 [[nodiscard]] bool hasSpareBatchSlots(const PoolEntry &pool);
-/// The pieces of one stage of one request, with what decides where they are computed.
+/// The pieces of one stage of one request, and the criteria for where to compute them.
 struct PieceGroup
 {
     std::uint32_t count = 1;
--- a/include/harelink/Kernel/piecerouter.h
+++ b/include/harelink/Kernel/piecerouter.h
@@ -60,6 +60,7 @@
     static void handle(const PieceBacklog &backlog, const Snapshot &snapshot, TimePoint now);
     /// Resubmits the pieces that are overdue or whose batcher is unreachable.
     void tick(const Snapshot &snapshot);
+    /// Returns when tick() is due next.
     [[nodiscard]] TimePoint nextTick() const;
 
     /// These return what has accumulated since they were last called.
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -79,7 +79,7 @@
         .field("waiting", stats.waiting)
         .field("lackingRoom", stats.lackingBufferSpace)
         .field("bookedBytes", stats.allocatedBytes)
-        .field("roomBytes", stats.roomBytes)
+        .field("roomBytes", stats.bufferBytes)
         .field("longestWaitMs", static_cast<std::int64_t>(toMilliseconds(stats.longestWait)));
 }
 
--- a/lib/Kernel/piecebatcher.cpp
+++ b/lib/Kernel/piecebatcher.cpp
@@ -202,13 +202,13 @@
     }
     const bool refused =
         event.evidence == SendEvidence::RefusedBeforeRun && !event.isEndpointReplaced;
-    // No work was started, so sending the pieces to another endpoint from here is free.
-    const bool untouched =
+    // No work was started, so the pieces can be sent to another endpoint at no cost.
+    const bool notStarted =
         !event.answered && (refused || event.evidence == SendEvidence::NothingSent);
     for (std::size_t i = 0; i < activeCall.items.size(); ++i) {
         QueuedPiece &item = activeCall.items[i];
         const PieceFault fault = event.answered ? event.results[i].fault : PieceFault::Failed;
-        if ((untouched || fault == PieceFault::NoRoom) && ++item.refusals < maxRefusals) {
+        if ((notStarted || fault == PieceFault::NoRoom) && ++item.refusals < maxRefusals) {
             queue.waiting.push_back(std::move(item));
             continue;
         }
@@ -245,9 +245,9 @@
     EndpointState &state = queue.endpointStates.at(endpoint);
     // A call that waited behind another one started when that one ended.
     const TimePoint begin = activeCall.expectedEnd - scaled(activeCall.declared, state.slowness);
-    const Duration taken = now - std::max(activeCall.sentAt, std::min(begin, now));
+    const Duration elapsed = now - std::max(activeCall.sentAt, std::min(begin, now));
     double sample = activeCall.declared > Duration::zero()
-                        ? std::chrono::duration<double>(taken)
+                        ? std::chrono::duration<double>(elapsed)
                               / std::chrono::duration<double>(activeCall.declared)
                         : 1;
     const bool failed = !event.answered && event.evidence != SendEvidence::RefusedBeforeRun;
@@ -276,7 +276,7 @@
     }
     entry->load->inFlight.fetch_sub(1, std::memory_order_relaxed);
     if (event.answered) {
-        recordSuccess(*entry, taken, now);
+        recordSuccess(*entry, elapsed, now);
     } else {
         recordFailure(pool, *entry, event.evidence, now);
     }
--- a/lib/Kernel/piececalls.cpp
+++ b/lib/Kernel/piececalls.cpp
@@ -132,7 +132,7 @@
     if (bestAvailable(candidates) != nullptr) {
         sortByUrgency(queue, now, work);
     }
-    bool hasSkipped = false; // Whether an available endpoint may take none of the pieces.
+    bool hasSkipped = false; // Set if an available endpoint may take none of the pieces.
     while (!queue.waiting.empty()) {
         Candidate *candidate = bestAvailable(candidates);
         if (candidate == nullptr) {
@@ -343,7 +343,7 @@
     stats.waiting = queue.waiting.size();
     stats.lackingBufferSpace = selection.lackingBufferSpace;
     stats.allocatedBytes = selection.allocatedBytes;
-    stats.roomBytes = work.roomBytes;
+    stats.bufferBytes = work.roomBytes;
     for (const QueuedPiece &item : items) {
         stats.longestWait = std::max<Duration>(stats.longestWait, m_clock.now() - item.receivedAt);
     }
--- a/lib/Kernel/piecegraph.cpp
+++ b/lib/Kernel/piecegraph.cpp
@@ -22,7 +22,7 @@
             continue;
         }
         for (const std::uint32_t before : stage.spec.after) {
-            assert(before < m_stages.size() && "a stage comes after earlier ones");
+            assert(before < m_stages.size() && "a stage may only depend on earlier stages");
             m_stages[before].isFinal = false;
         }
     }
@@ -66,13 +66,13 @@
 
 std::vector<PieceIndex> PieceGraph::scheduleReady(const std::vector<Duration> &times)
 {
-    const Duration waiting = longestPendingChain(times);
+    const Duration pendingTime = longestPendingChain(times);
     std::vector<PieceIndex> ready;
     for (std::uint32_t i = 0; i < m_stages.size(); ++i) {
         Stage &stage = m_stages[i];
         const Duration duration = i < times.size() ? times[i] : Duration::zero();
         const bool isDeferred =
-            canBeDeferred(i) && waiting > Duration::zero() && duration <= waiting;
+            canBeDeferred(i) && pendingTime > Duration::zero() && duration <= pendingTime;
         const bool isReady = hasInputs(i) && !isDeferred;
         for (std::uint32_t p = 0; isReady && p < stage.pieces.size(); ++p) {
             if (stage.pieces[p].state == State::Waiting) {
