--- a/include/harelink/Kernel/clienttimeoutmodel.h
+++ b/include/harelink/Kernel/clienttimeoutmodel.h
@@ -1,13 +1,13 @@
-//===- harelink/Kernel/clienttimeoutmodel.h - Time callers spent -----*- C++ -*-===//
+//===- harelink/Kernel/clienttimeoutmodel.h - Client timeouts ---*- C++ -*-===//
 ///
 /// \file
-/// Estimates how long ago the caller of a request first tried. A caller that was refused
-/// comes back with a new request, whose time allowed is what is left of its patience.
+/// Estimates how long ago the caller of a request first tried. A refused caller retries
+/// with a new request that allows only the rest of its client timeout.
 ///
-/// It answers overload: callers that come back late took the places of those that could
-/// still be served within their objective. Counted from their first try, worth rose on three
-/// sites from 0.577, 0.381 and 0.482 to 0.588, 0.383 and 0.485 (three seeds of five days
-/// each), and the part that was served by 0.009, 0.007 and 0.004.
+/// Under overload, callers that retried late displaced callers that could still be served
+/// within their objective. Measuring the objective from the first attempt raised the score
+/// of three test sites from 0.577, 0.381 and 0.482 to 0.588, 0.383 and 0.485 (three seeds of
+/// five days each), and the fraction of served requests by 0.009, 0.007 and 0.004.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,24 +21,24 @@
 
 namespace harelink {
 
-/// What callers of one pipeline allow at their first try, learnt from what requests of late
-/// allowed. Callers come back once or a few times, so first tries are many, and most of them
-/// allow the same; where they do not, nothing is concluded.
+/// The client timeout of first attempts for one pipeline, estimated from recent requests.
+/// Callers retry only a few times, so first attempts are frequent, and most of them use the
+/// same timeout. If they do not, there is no estimate.
 class ClientTimeoutModel
 {
 public:
-    /// Takes in a request that allows \p allowed; the time that its caller has spent on
-    /// earlier tries, zero for one that seems to be the first.
+    /// Records a request with timeout \p allowed. Returns the estimated time that its caller has
+    /// spent on earlier attempts; zero if this seems to be the first.
     Duration record(Duration allowed);
 
 private:
-    /// Requests that are looked at: a few seconds of one pipeline at one daemon.
+    /// Number of recent requests: a few seconds of one pipeline's traffic at one daemon.
     static constexpr std::size_t sampleCount = 32;
 
     [[nodiscard]] Duration typicalTimeout() const;
 
     std::array<Duration, sampleCount> m_samples{};
-    std::size_t m_recorded = 0; ///< Requests noted so far.
+    std::size_t m_recorded = 0; ///< Number of requests recorded so far.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/endpointnotice.h
+++ b/include/harelink/Kernel/endpointnotice.h
@@ -1,7 +1,7 @@
-//===- harelink/Kernel/endpointnotice.h - Words of endpoints ----*- C++ -*-===//
+//===- harelink/Kernel/endpointnotice.h - Endpoint notices ------*- C++ -*-===//
 ///
 /// \file
-/// What an endpoint says of itself beside an answer.
+/// State that an endpoint reports about itself with its answers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,18 +15,18 @@
 
 namespace harelink {
 
-/// What one answer says of its endpoint.
+/// The endpoint state reported by one answer.
 struct EndpointNotice
 {
-    /// The requests per second that the endpoint accepts from all hosts together; absent
-    /// where the answer states no limit.
+    /// The requests per second that the endpoint accepts from all hosts together;
+    /// std::nullopt if the answer announces no limit.
     std::optional<double> requestsPerSecond;
-    Duration pause{};       ///< It accepts nothing from this host for so long; zero for none.
+    Duration pause{};       ///< Time for which it accepts nothing from this host; zero for none.
     bool isLeaving = false; ///< It accepts no new work.
-    Duration coldFor{};     ///< It stays cold for so long; zero where it does not say so.
-    /// The limit could not be read: neither stated nor lifted.
+    Duration coldFor{};     ///< Remaining time in cold state; zero if not reported.
+    /// The limit could not be parsed: it counts neither as announced nor as lifted.
     bool isLimitUnreadable = false;
-    /// The name and the value of the last field that could not be read; empty for none.
+    /// Name and value of the last field that could not be parsed; empty if none.
     std::string unreadable;
 
     [[nodiscard]] bool hasContent() const
@@ -35,15 +35,15 @@
     }
 };
 
-/// Event: an endpoint's answer says something of the endpoint.
+/// Event: an endpoint's answer contained a notice.
 struct EndpointNoticed
 {
     std::string endpoint;
     EndpointNotice notice;
-    TimePoint sentAt; ///< When the request was sent that was answered.
+    TimePoint sentAt; ///< When the answered request was sent.
 };
 
-/// Action: ask an endpoint whether it is cold.
+/// Action: query the status of an endpoint to find out whether it is cold.
 struct CheckColdState
 {
     std::string endpoint;
@@ -51,12 +51,12 @@
     std::string path;
 };
 
-/// Event: an endpoint has answered whether it is cold, or has not.
+/// Event: a cold check was answered or failed.
 struct ColdStateChecked
 {
     std::string endpoint;
     TimePoint askedAt;
-    /// For how long it stays cold, zero where it is warm; nothing without an answer.
+    /// Remaining time in cold state, zero if warm; std::nullopt without an answer.
     std::optional<Duration> coldFor;
 };
 
--- a/include/harelink/Kernel/guards.h
+++ b/include/harelink/Kernel/guards.h
@@ -1,9 +1,10 @@
-//===- harelink/Kernel/guards.h - The mechanisms, one by one ----*- C++ -*-===//
+//===- harelink/Kernel/guards.h - Switchable safety mechanisms --*- C++ -*-===//
 ///
 /// \file
-/// Names each mechanism that guards a promise or decides under load. The product
-/// always has all of them; a test takes one out, by a policy of its own, to show
-/// that the promise breaks, or how much worse the load is met, without it.
+/// One switch for each mechanism that protects a guarantee or makes decisions under
+/// load. Production code enables all of them. A test disables one through its own
+/// policy to show that the guarantee is violated, or that load is handled worse,
+/// without it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -14,53 +15,54 @@
 
 namespace harelink {
 
-/// All mechanisms in place.
+/// The production policy: all mechanisms are enabled.
 struct AllGuards
 {
-    /// A request that may not be repeated is claimed before its first byte is sent.
+    /// Claims a request that is not repeatable before its first byte is sent.
     static constexpr bool claimsBeforeSending = true;
-    /// An answer counts only for the attempt that is current.
+    /// Accepts an answer only for the current attempt.
     static constexpr bool matchesAttempts = true;
-    /// "Not run" is said only on evidence that nothing was sent.
+    /// Reports "not run" only on evidence that no endpoint ran the request.
     static constexpr bool notRunNeedsEvidence = true;
-    /// A call that may have run is sent again only for repeatable pipelines.
+    /// Retries a call that may have run only for repeatable pipelines.
     static constexpr bool retriesOnlyRepeatable = true;
-    /// A claim is written only over the version that it was decided on.
+    /// Writes a claim only if the stored version is the one that was read (compare-and-swap).
     static constexpr bool updatesConditionally = true;
-    /// A write whose answer was lost is settled only by a version that moved.
+    /// Resolves a write whose answer was lost only by a changed version.
     static constexpr bool resolvesWritesByVersion = true;
-    /// A claim belongs to one request, not to the daemon that took it in.
+    /// A claim belongs to one request, not to the daemon that received it.
     static constexpr bool claimsPerRequest = true;
-    /// News of an object counts only if it is newer than what was seen.
+    /// Ignores an update of an object that is not newer than the known version.
     static constexpr bool dropsStaleUpdates = true;
-    /// A leaving endpoint gets no new work.
+    /// Sends no new work to a leaving endpoint.
     static constexpr bool avoidsLeaving = true;
-    /// The endpoints of a data centre that is drained get no new work.
+    /// Sends no new work to the endpoints of a drained data centre.
     static constexpr bool avoidsDrained = true;
-    /// Endpoints that are cold get no more than they bear, from all daemons together.
+    /// Limits the rate at which all daemons together send to a cold endpoint.
     static constexpr bool avoidsCold = true;
-    /// A daemon that is not told which endpoints are cold checks them before it sends.
+    /// A daemon that receives no endpoint updates checks whether an endpoint is cold before it
+    /// sends to it.
     static constexpr bool checksColdState = true;
-    /// Endpoints that state a rate limit get no more from all daemons together.
+    /// Keeps the sends of all daemons together within an endpoint's announced rate limit.
     static constexpr bool enforcesRateLimits = true;
-    /// Endpoints get nothing in a pause that they asked for.
+    /// Sends nothing to an endpoint during a pause that it requested.
     static constexpr bool enforcesPauses = true;
-    /// A request under which endpoints have ended is not run again.
+    /// Does not run a request again that has crashed endpoints.
     static constexpr bool quarantinesCrashing = true;
-    /// The time for which a host was suspended counts for all that its daemon times. (The
-    /// clock that is handed in sees to it.)
+    /// Timeouts include the time for which the host was suspended. (Implemented by the clock
+    /// that is passed in.)
     static constexpr bool countsSuspendedTime = true;
-    /// A stopping daemon finishes what is in flight.
+    /// A stopping daemon completes the requests in flight.
     static constexpr bool drainsBeforeExit = true;
-    /// A request is taken in, and kept, only while it is predicted to be in time.
+    /// Admits and keeps a request only while it is predicted to meet its deadline.
     static constexpr bool admitsByPrediction = true;
-    /// Waiting accounts go by their use for their weight, not as they came.
+    /// Orders queued requests by their account's usage relative to its weight, not by arrival.
     static constexpr bool ordersByUsage = true;
-    /// The slots of a pool are divided among the accounts that want them.
+    /// Divides the slots of a pool among the accounts with demand for them.
     static constexpr bool sharesSlots = true;
 };
 
-/// A policy that says of each mechanism whether it is in place.
+/// A policy that enables or disables each mechanism.
 template <typename G>
 concept GuardPolicy = requires
 {
--- a/include/harelink/Kernel/proxied.h
+++ b/include/harelink/Kernel/proxied.h
@@ -1,9 +1,8 @@
-//===- harelink/Kernel/proxied.h - Requests passed on unchanged -*- C++ -*-===//
+//===- harelink/Kernel/proxied.h - Proxied requests and answers -*- C++ -*-===//
 ///
 /// \file
-/// A request that is carried to an endpoint as the caller sent it, and the
-/// answer that is carried back. The kernel decides by the hints beside the
-/// message and never reads the message itself.
+/// A request that is forwarded to an endpoint unchanged, and its answer. The kernel
+/// uses the hints stored with the message and never parses the message itself.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,40 +19,41 @@
 
 namespace harelink {
 
-/// Header fields in the order of the message; names as sent.
+/// Header fields in message order, with names as sent.
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-/// A part of a prompt that other prompts may begin with too.
+/// A segment of a prompt; other prompts may share the same leading segments.
 struct PromptPart
 {
     std::string id;
     std::uint64_t tokens = 0;
 };
 
-/// A caller's request that is passed on unchanged.
+/// A caller's request that is forwarded unchanged.
 struct ProxiedRequest
 {
-    std::string callerId; ///< The caller's own name for this attempt; answers echo it.
+    std::string callerId; ///< The caller's ID of this attempt; echoed in answers.
     std::string method;
-    std::string target;   ///< Path and query, as sent.
-    std::string host;     ///< As in the host field, without a port.
-    std::string path;     ///< Without the query.
-    HeaderFields headers; ///< End to end, without those that the daemon sets itself.
+    std::string target;   ///< Path and query as sent.
+    std::string host;     ///< The Host field without a port.
+    std::string path;     ///< The target without the query.
+    HeaderFields headers; ///< End-to-end fields, without those that the daemon sets itself.
     std::string body;
-    std::string apiKey; ///< Empty where none came.
+    std::string apiKey; ///< Empty if absent.
 
     std::string model;
-    std::vector<PromptPart> prompt; ///< In order; the last part is this request's own.
+    std::vector<PromptPart>
+        prompt; ///< In order; only the last segment is specific to this request.
     std::uint64_t promptTokens = 0;
     std::uint64_t maxAnswerTokens = 0;
 
-    std::vector<std::uint32_t> pieceCounts; ///< By piece stage of the route; 0 leaves it out.
-    std::string pieceKey;                   ///< What pieces without inputs are made from.
+    std::vector<std::uint32_t> pieceCounts; ///< By piece stage of the route; 0 skips the stage.
+    std::string pieceKey;                   ///< Key from which pieces without inputs are computed.
 
-    /// The event that the caller saw last of a stream that broke.
+    /// ID of the last event that the caller received before its stream broke.
     std::optional<std::uint64_t> lastEventSeen;
 
-    /// The tokens of all parts of the prompt but its own.
+    /// Returns the number of tokens of all prompt segments except the last.
     [[nodiscard]] std::uint64_t sharedTokens() const
     {
         std::uint64_t tokens = 0;
@@ -64,11 +64,11 @@
     }
 };
 
-/// An endpoint's answer that is passed back unchanged.
+/// An endpoint's answer that is forwarded unchanged.
 struct ProxiedAnswer
 {
     int status = 0;
-    HeaderFields headers; ///< End to end.
+    HeaderFields headers; ///< End-to-end fields.
     std::string body;     ///< Empty for the head of a stream.
 };
 
--- a/include/harelink/Kernel/requestdigest.h
+++ b/include/harelink/Kernel/requestdigest.h
@@ -1,8 +1,8 @@
-//===- harelink/Kernel/requestdigest.h - What a request asks ----*- C++ -*-===//
+//===- harelink/Kernel/requestdigest.h - Request digests --------*- C++ -*-===//
 ///
 /// \file
-/// Names what a request asks for and on whose behalf, so that requests that come again
-/// under other ids can be told: every attempt of a caller has an id of its own.
+/// Digests of a request's content and account. They recognize a request that is sent
+/// again under another ID: every attempt of a caller has its own ID.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,9 +17,9 @@
 
 struct RequestArrived;
 
-/// The digest of \p request on behalf of \p account: the same at every daemon for requests
-/// with the same method, target, account and body. The account is part of it, so that no
-/// account can bring about another's digest: the hash is no cryptographic one.
+/// Returns the digest of \p request sent by \p account. It is the same at every daemon for
+/// requests with the same method, target, account and body. The account is included because
+/// the hash is not cryptographic: no account can produce the digest of another account.
 [[nodiscard]] Hash128 digestOf(const RequestArrived &request, const std::string &account);
 
 } // namespace harelink
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/requestmachine.h - A request's life ------*- C++ -*-===//
+//===- harelink/Kernel/requestmachine.h - Request state machine -*- C++ -*-===//
 ///
 /// \file
-/// Takes requests through the stages of their pipelines. One machine belongs to
-/// one worker thread and owns its requests for their whole life. Events go in,
-/// actions come out; the machine reads no clock, socket or random device.
+/// Executes requests through the stages of their pipelines. One machine belongs to one
+/// worker thread and owns its requests from arrival to answer. It consumes events and
+/// emits actions; it performs no I/O and uses only the clock and seed passed to it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -45,57 +45,57 @@
 
 namespace harelink {
 
-/// Event: a caller's request came in.
+/// Event: a caller's request arrived.
 struct RequestArrived
 {
     RequestId id;
     std::string account;
     std::string pipeline;
     std::string body;
-    std::string idempotencyKey;          ///< Empty where the caller gave none.
-    std::optional<Duration> timeAllowed; ///< The pipeline's deadline where absent.
-    std::string traceparent;             ///< W3C; empty where the caller gave none.
-    bool streams = false;                ///< Wants the last stage's answer as it comes.
-    /// Where it is to be passed on unchanged: its route then gives the pipeline, and its
-    /// API key the account. Shared with the calls that carry it.
+    std::string idempotencyKey;          ///< Empty if absent.
+    std::optional<Duration> timeAllowed; ///< Defaults to the pipeline's deadline.
+    std::string traceparent;             ///< W3C trace context; empty if absent.
+    bool streams = false;                ///< Requests the last stage's answer as a stream.
+    /// Set if the request is to be forwarded unchanged; then its route determines the pipeline
+    /// and its API key the account. Shared with its calls.
     std::shared_ptr<const ProxiedRequest> proxied;
 };
 
 /// Event: an endpoint answered a call.
 struct StageAnswered
 {
-    CallId call;   ///< The call on whose connection the answer came.
-    CallId echoed; ///< The identity that the answer itself carries.
+    CallId call;   ///< The call on whose connection the answer was received.
+    CallId echoed; ///< The call ID contained in the answer.
     std::string body;
-    Duration busy{};                      ///< The endpoint's own time; zero where it tells none.
-    int reportedActive = -1;              ///< Its load report; negative where it sent none.
-    std::optional<ProxiedAnswer> proxied; ///< The whole answer to a proxied request.
-    std::optional<EndpointNotice> notice; ///< Absent where the protocol has none.
+    Duration busy{};         ///< Service time reported by the endpoint; zero if absent.
+    int reportedActive = -1; ///< Active requests reported by the endpoint; negative if absent.
+    std::optional<ProxiedAnswer> proxied; ///< The complete answer to a proxied request.
+    std::optional<EndpointNotice> notice; ///< std::nullopt if the protocol has none.
 };
 
-/// Event: an event of the answer to a proxied request that streams.
+/// Event: the endpoint sent one event of a streamed answer to a proxied request.
 struct StageEvent
 {
     CallId call;        ///< As in StageAnswered.
     CallId echoed;      ///< As in StageAnswered.
-    ProxiedAnswer head; ///< Of the answer that it is part of.
+    ProxiedAnswer head; ///< Head of the answer that the event belongs to.
     std::optional<std::uint64_t> eventId;
-    std::string bytes;                    ///< The whole event, as it came.
+    std::string bytes;                    ///< The complete event as received.
     std::optional<EndpointNotice> notice; ///< As in StageAnswered.
 };
 
-/// Event: a piece was made, or not.
+/// Event: a piece was computed or has failed.
 struct PieceEnded
 {
     PieceOutcome outcome;
 };
 
-/// Event: a part of the answer to a call that streams.
+/// Event: the endpoint sent a chunk of a streamed answer.
 struct StageChunk
 {
     CallId call;                  ///< As in StageAnswered.
     CallId echoed;                ///< As in StageAnswered.
-    std::uint64_t firstToken = 0; ///< Its place in the whole answer, over all attempts.
+    std::uint64_t firstToken = 0; ///< Offset in the complete answer, across all attempts.
     std::uint64_t tokens = 1;
     std::string text;
 };
@@ -106,87 +106,87 @@
     CallId call;
     SendEvidence evidence = SendEvidence::Sent;
     absl::Status status;
-    /// The endpoint's own answer, where it failed by one.
+    /// The endpoint's own error answer, if it sent one.
     std::optional<ProxiedAnswer> proxied;
-    bool isEndpointReplaced = false;      ///< Another endpoint has taken over the address.
-    bool inputsGone = false;              ///< Results that the request names are no longer kept.
-    bool isBroken = false;                ///< The connection ended in the middle of the call.
-    std::optional<EndpointNotice> notice; ///< Absent where nothing came from the endpoint.
+    bool isEndpointReplaced = false; ///< Another endpoint now uses the address.
+    bool inputsGone = false;         ///< Piece results used by the request are no longer stored.
+    bool isBroken = false;           ///< The connection was lost during the call.
+    std::optional<EndpointNotice> notice; ///< std::nullopt if the endpoint sent nothing.
 };
 
-/// Event: an endpoint's life is over, though it may go on under another name.
+/// Event: an endpoint instance has ended; a successor may run under another name.
 struct EndpointEnded
 {
     std::string endpoint;
 };
 
-/// Event: the caller went away.
+/// Event: the caller disconnected.
 struct CallerGone
 {
     RequestId id;
 };
 
-/// Action: send one stage to an endpoint.
+/// Action: send one stage of a request to an endpoint.
 struct SendStage
 {
     CallId call;
     std::string endpoint;
-    std::string endpointIdentity; ///< What the endpoint at the address must call itself.
+    std::string endpointIdentity; ///< Identity that the endpoint at the address must report.
     std::string address;
     std::string protocol;
     std::string stage;
     std::string request;  ///< The caller's body.
-    std::string previous; ///< The answer of the stage before; empty at the first.
+    std::string previous; ///< The previous stage's answer; empty for the first stage.
     std::string idempotencyKey;
-    bool repeatable = true;            ///< False: not a byte of it may be sent a second time.
-    bool refusesBeforeRunning = false; ///< The endpoint's 429 and 503 mean that nothing ran.
+    bool repeatable = true;            ///< If false, no byte of the call may be sent twice.
+    bool refusesBeforeRunning = false; ///< Status 429 and 503 mean that nothing ran.
     std::string traceparent;
     Duration timeout{};
-    bool streams = false;              ///< The answer is wanted as it comes, if that can be had.
-    std::uint64_t tokensDelivered = 0; ///< Already passed on to the caller, from a stream that
-    std::string textDelivered;         ///< broke: the answer is to go on right behind them.
+    bool streams = false;              ///< Request a streamed answer if the protocol supports it.
+    std::uint64_t tokensDelivered = 0; ///< Sent to the caller from a stream that broke; the
+    std::string textDelivered;         ///< answer must continue directly after them.
     std::string account;
-    int priority = 0; ///< 0 is the most urgent.
+    int priority = 0; ///< 0 is the highest priority.
     std::shared_ptr<const ProxiedRequest> proxied;
-    std::vector<std::string> inputs; ///< Results of the pieces.
-    /// The event behind which a stream is to go on.
+    std::vector<std::string> inputs; ///< Handles of the piece results.
+    /// ID of the event after which a stream resumes.
     std::optional<std::uint64_t> resumeAfter;
 };
 
-/// Action: have pieces of one request made at \p pool.
+/// Action: order pieces of one request at \p pool.
 struct OrderPieces
 {
     std::string pool;
     std::vector<PieceOrder> orders;
 };
 
-/// Action: the pieces of a request that are not made yet are no longer wanted.
+/// Action: cancel the pieces of a request that are not completed.
 struct WithdrawPieces
 {
     RequestId id;
 };
 
-/// Action: these results are no longer needed.
+/// Action: release results that are no longer needed.
 struct FreeResults
 {
     std::vector<std::string> handles;
 };
 
-/// Action: pass an event of a carried answer on to the caller.
+/// Action: forward an event of a proxied answer to the caller.
 struct StreamEvents
 {
     RequestId id;
-    std::optional<ProxiedAnswer> head; ///< With the first event only.
+    std::optional<ProxiedAnswer> head; ///< Set with the first event only.
     std::string bytes;
 };
 
-/// Action: an endpoint is no longer where it was declared.
+/// Action: report that another endpoint uses the declared address.
 struct EndpointReplaced
 {
     std::string endpoint;
 };
 
-/// Action: pass a part of the answer on to the caller.
+/// Action: forward a chunk of the answer to the caller.
 struct StreamChunk
 {
     RequestId id;
@@ -195,82 +195,82 @@
     std::string text;
 };
 
-/// Action: stop a call; its answer is no longer wanted.
+/// Action: cancel a call.
 struct CancelStage
 {
     CallId call;
 };
 
-/// Action: answer the caller. Comes exactly once for each RequestArrived.
+/// Action: answer the caller. Emitted exactly once for each RequestArrived.
 struct AnswerCaller
 {
     RequestId id;
-    Hash128 digest; ///< As digestOf() gives it; zero where it was refused unread.
+    Hash128 digest; ///< See digestOf(); zero if the request was refused before it was parsed.
     std::string account;
     std::string pipeline;
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
-    std::string body;      ///< The answer, where the outcome is Completed.
-    absl::Status error;    ///< With the step and the peer, otherwise.
-    bool replayed = false; ///< The stored answer of an earlier request.
-    Duration retryAfter{}; ///< When to come back; zero where that is of no use.
+    std::string body;      ///< The answer, if the outcome is Completed.
+    absl::Status error;    ///< Otherwise, the error with its step and peer.
+    bool replayed = false; ///< The answer is that of an earlier request with the same key.
+    Duration retryAfter{}; ///< Delay before a retry; zero if a retry is pointless.
     Duration elapsed{};
     Duration allowed{};
-    Duration timeToFirstChunk{}; ///< From the arrival to the first part of a stream, or zero.
-    std::uint64_t tokens = 0;    ///< Passed on in parts.
+    Duration timeToFirstChunk{}; ///< From the arrival to the first chunk of a stream; zero if none.
+    std::uint64_t tokens = 0;    ///< Tokens or events sent as chunks.
     std::vector<StageCost> costs;
-    /// The endpoint's answer, also a failure of its own, where the request was carried.
+    /// The endpoint's answer to a proxied request, which may be an error of the endpoint.
     std::optional<ProxiedAnswer> proxied;
     std::string callerId; ///< Of a proxied request.
-    std::string endpoint; ///< Where it was sent last.
+    std::string endpoint; ///< The endpoint of the last send.
     std::uint32_t sends = 0;
-    Duration predicted{};      ///< At its admission, to the answer or its first event.
-    bool admittedLate = false; ///< Was taken in although it would miss its objective.
-    Duration prepared{};       ///< From the arrival until all pieces were made; zero without.
+    Duration predicted{};      ///< Time to the answer or first event, predicted at admission.
+    bool admittedLate = false; ///< Admitted although it was predicted to miss its objective.
+    Duration prepared{};       ///< From the arrival until all pieces were completed; zero if none.
 };
 
-/// What a machine wants done.
+/// An action requested by a machine.
 using RequestAction =
     std::variant<SendStage, CancelStage, StreamChunk, AnswerCaller, ClaimRequest, ClaimFinish,
                  OrderPieces, WithdrawPieces, FreeResults, StreamEvents, EndpointReplaced,
                  EndpointNoticed, BrokenCallReport, RequestCleared, CheckColdState>;
 
-/// Counts of what a machine did.
+/// Counters of one machine.
 struct RequestCounters
 {
     std::uint64_t sends = 0;
     std::uint64_t retries = 0;
-    std::uint64_t staleAnswers = 0;      ///< For an attempt that is no longer current.
-    std::uint64_t mismatchedAnswers = 0; ///< That carry another call's identity.
-    std::uint64_t lateGrants = 0;        ///< For a request already given up on.
-    std::uint64_t brokenCalls = 0;       ///< Whose connection ended in the middle.
-    std::uint64_t resumedStreams = 0;    ///< Sent on behind what a broken stream had brought.
+    std::uint64_t staleAnswers = 0;      ///< Answers to an attempt that is no longer current.
+    std::uint64_t mismatchedAnswers = 0; ///< Answers that contain another call's ID.
+    std::uint64_t lateGrants = 0;        ///< Claims granted to a request that was already answered.
+    std::uint64_t brokenCalls = 0;       ///< Calls whose connection was lost.
+    std::uint64_t resumedStreams = 0;    ///< Resends that resume a broken stream.
     std::array<std::uint64_t, reasonCount> reasons{};
 };
 
-/// How a machine limits itself.
+/// Limits and shares of one machine.
 struct RequestLimits
 {
-    std::size_t maxRequests = 10'000; ///< In progress; more are refused.
-    int workers = 1;                  ///< Machines that share the endpoints.
-    RetryBudgetOptions retries;       ///< Of proxied requests.
-    /// How many daemons are alive, for shares that need no talk; null for this one alone.
+    std::size_t maxRequests = 10'000; ///< Maximum in progress; further requests are refused.
+    int workers = 1;            ///< Number of machines in this daemon that share the endpoints.
+    RetryBudgetOptions retries; ///< For proxied requests.
+    /// The number of live daemons, used to compute shares; null if this is the only daemon.
     const std::atomic<int> *daemons = nullptr;
 };
 
-/// The machine. \p G is AllGuards in the product.
+/// The request state machine. \p G is AllGuards in production.
 template <GuardPolicy G>
 class BasicRequestMachine
 {
 public:
-    /// \param clock outlives the machine.
+    /// \param clock must outlive the machine.
     /// \param policy chooses endpoints.
-    /// \param seed of the machine's random draws.
+    /// \param seed of the machine's random generator.
     BasicRequestMachine(const Clock &clock, std::unique_ptr<RoutingPolicy> policy,
                         std::uint64_t seed, RequestLimits limits);
     ~BasicRequestMachine();
 
-    /// The events. \p snapshot is the configuration now in force.
+    /// Handles an event. \p snapshot is the configuration in force.
     void handle(RequestArrived event, const Snapshot &snapshot);
     void handle(StageAnswered event, const Snapshot &snapshot);
     void handle(const StageChunk &event, const Snapshot &snapshot);
@@ -281,31 +281,31 @@
     void handle(const CallerGone &event, const Snapshot &snapshot);
     void handle(const EndpointEnded &event, const Snapshot &snapshot);
     void handle(const RequestSuspected &event, const Snapshot &snapshot);
-    /// Time passed: gives up what is due and sends what can go.
+    /// Fails requests that are due and dispatches queued requests.
     void tick(const Snapshot &snapshot);
-    /// From now on refuses new requests; those in progress go on.
+    /// Refuses new requests from now on; those in progress continue.
     void drain() { m_draining = true; }
-    /// Answers all that is in progress, as honestly as can be, at once.
+    /// Answers all requests in progress immediately, with the outcome known so far.
     void abandonAll(const Snapshot &snapshot);
 
-    /// Takes the actions that came up since the last call.
+    /// Returns and clears the actions emitted since the last call.
     [[nodiscard]] std::vector<RequestAction> drainActions();
-    /// When tick() is due at the latest; nothing while no request is there.
+    /// Returns the time by which tick() must be called; std::nullopt if there are no requests.
     [[nodiscard]] std::optional<TimePoint> nextTick() const;
-    /// How many requests are in progress.
+    /// Returns the number of requests in progress.
     [[nodiscard]] std::size_t inProgress() const { return m_requests.size(); }
-    /// How many requests wait for an endpoint.
+    /// Returns the number of requests queued for an endpoint.
     [[nodiscard]] std::size_t queued() const;
     [[nodiscard]] const RequestCounters &counters() const { return m_counters; }
 
 private:
     struct Request;
     struct PoolState;
-    /// The queue that a new request finds at a pool.
+    /// The queue that a new request would join at a pool.
     struct QueueForecast
     {
-        double ahead = 0;    ///< Requests that go before it.
-        Duration interval{}; ///< Between two of them.
+        double ahead = 0;    ///< Number of requests that are dispatched first.
+        Duration interval{}; ///< Time between two dispatches.
     };
 
     Request *find(const RequestId &id);
@@ -395,26 +395,27 @@
     Random m_random;
     RequestLimits m_limits;
     bool m_draining = false;
-    TimePoint m_lastEventAt; ///< Of the last tick, answer or failure.
-    TimePoint m_resumedAt;   ///< When this process last woke from a long pause.
+    TimePoint m_lastEventAt; ///< Time of the last tick, answer or failure.
+    TimePoint m_resumedAt;   ///< When this process last resumed after a suspension.
     double m_retryTokens;
     std::map<std::string, RetryBudget> m_budgets;               ///< By pool.
     std::map<std::string, ClientTimeoutModel> m_clientTimeouts; ///< By pipeline.
-    std::map<std::string, double> m_forecastBias; ///< By pipeline: real against predicted time.
-    std::size_t m_lateAdmissions = 0;             ///< In progress that were taken in to be late.
+    std::map<std::string, double> m_forecastBias; ///< By pipeline: ratio of real to predicted time.
+    std::size_t m_lateAdmissions = 0;             ///< Requests in progress that were admitted late.
     absl::flat_hash_map<std::uint64_t, std::unique_ptr<Request>> m_requests;
-    // Ordered, so that the same events always give the same actions.
+    // Ordered, so that the same events always produce the same actions.
     std::map<std::string, std::unique_ptr<PoolState>> m_pools;
     using Timer = std::pair<TimePoint, std::uint64_t>;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
-    absl::flat_hash_set<std::uint64_t> m_unawaitedClaims; // Answered while they waited.
+    absl::flat_hash_set<std::uint64_t>
+        m_unawaitedClaims; // Requests answered while they waited for a claim.
     std::deque<std::pair<TimePoint, std::uint64_t>> m_unawaitedClaimOrder;
-    absl::flat_hash_set<Hash128> m_suspects; ///< Requests whose good ends are to be told.
+    absl::flat_hash_set<Hash128> m_suspects; ///< Digests whose next completion is to be reported.
     std::vector<RequestAction> m_actions;
     RequestCounters m_counters;
 };
 
-/// The machine of the product.
+/// The production request machine.
 using RequestMachine = BasicRequestMachine<AllGuards>;
 
 } // namespace harelink
--- a/include/harelink/Kernel/retrybudget.h
+++ b/include/harelink/Kernel/retrybudget.h
@@ -1,9 +1,9 @@
-//===- harelink/Kernel/retrybudget.h - Repeated sends -----------*- C++ -*-===//
+//===- harelink/Kernel/retrybudget.h - Retry budget -------------*- C++ -*-===//
 ///
 /// \file
-/// Bounds how often requests to one pool are sent more than once. The bound is on
-/// all daemons together; each takes a part that needs no talk: a share of its own
-/// requests, and an equal part of the constant allowance.
+/// Limits the retries to one pool over all daemons together. Daemons need not
+/// communicate for it: each may retry a ratio of its own requests plus an equal share
+/// of a constant allowance.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,32 +18,32 @@
 
 namespace harelink {
 
-/// What all daemons together may repeat within any window of the given length.
+/// Limits on the retries of all daemons together within any window of the given length.
 struct RetryBudgetOptions
 {
-    double ratio = 0.1;     ///< Repeats for each request of the window.
-    double allowance = 200; ///< Repeats besides, of all daemons together.
+    double ratio = 0.1;     ///< Retries per request of the window.
+    double allowance = 200; ///< Additional retries, shared by all daemons.
     std::chrono::milliseconds window{10'000};
 };
 
-/// The budget of one daemon for one pool.
+/// The retry budget of one daemon for one pool.
 class RetryBudget
 {
 public:
     explicit RetryBudget(const RetryBudgetOptions &options);
 
-    /// A caller's request for the pool came in.
+    /// Records a caller's request for the pool.
     void recordRequest(TimePoint now);
-    /// A call beyond the first of its request was sent.
+    /// Records a call beyond the first of its request.
     void recordRetry(TimePoint now);
-    /// Whether one more may be sent.
+    /// Returns whether one more retry may be sent.
     ///
-    /// \param daemons among which the allowance is divided; at least 1.
+    /// \param daemons number of daemons that share the allowance; at least 1.
     [[nodiscard]] bool allows(TimePoint now, int daemons);
 
 private:
-    /// The window slides in steps of a part of it; it is kept longer than it has to be
-    /// by one step, so that no true window holds more than was counted.
+    /// The window slides in steps of one slot. One extra slot is kept, so that no window of the
+    /// configured length contains more retries than were counted.
     static constexpr std::size_t slotCount = 21;
     struct Slot
     {
@@ -54,7 +54,7 @@
     Slot &slotAt(TimePoint now);
 
     RetryBudgetOptions m_options;
-    std::int64_t m_current = 0; ///< The number of the newest slot.
+    std::int64_t m_current = 0; ///< Number of the newest slot.
     std::array<Slot, slotCount> m_slots{};
 };
 
--- a/include/harelink/Kernel/types.h
+++ b/include/harelink/Kernel/types.h
@@ -1,8 +1,7 @@
 //===- harelink/Kernel/types.h - Identities and outcomes --------*- C++ -*-===//
 ///
 /// \file
-/// The identities that tie every answer to its request, and the outcome that a
-/// caller is told.
+/// Request and call identifiers, request outcomes and the reasons for failures.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,42 +19,42 @@
 
 namespace harelink {
 
-/// One start of one daemon; drawn anew at each start.
+/// Identifies one run of a daemon process; chosen at random at each start.
 using Incarnation = std::uint64_t;
 
-/// A request, unique over all daemons and restarts.
+/// Identifies a request uniquely across all daemons and restarts.
 struct RequestId
 {
-    Incarnation incarnation = 0; ///< Of the daemon that took it in.
-    std::uint64_t sequence = 0;  ///< Rises within the incarnation.
+    Incarnation incarnation = 0; ///< Of the daemon that received the request.
+    std::uint64_t sequence = 0;  ///< Increases within the incarnation.
     auto operator<=>(const RequestId &) const = default;
 };
 
-/// One send of one stage of one request. An endpoint's answer brings it back.
+/// Identifies one send of one stage of a request. The endpoint echoes it in its answer.
 struct CallId
 {
     RequestId request;
-    std::uint32_t stage = 0;   ///< Index within the pipeline.
-    std::uint32_t attempt = 0; ///< Rises within the request, over all stages.
+    std::uint32_t stage = 0;   ///< Index into the stages of the pipeline.
+    std::uint32_t attempt = 0; ///< Increases within the request, across all stages.
     auto operator<=>(const CallId &) const = default;
 };
 
-/// "incarnation-sequence" in hexadecimal.
+/// Returns "incarnation-sequence" in hexadecimal.
 [[nodiscard]] std::string toText(const RequestId &id);
-/// "incarnation-sequence-stage-attempt" in hexadecimal.
+/// Returns "incarnation-sequence-stage-attempt" in hexadecimal.
 [[nodiscard]] std::string toText(const CallId &id);
-/// Reads what toText(CallId) wrote.
+/// Parses the output of toText(CallId); std::nullopt if \p text is malformed.
 [[nodiscard]] std::optional<CallId> parseCallId(std::string_view text);
 
-/// What a caller is told of its request.
+/// The execution state of a finished request, as reported to the caller.
 enum class Outcome {
-    NotRun,        ///< No byte of any stage left this daemon, or its endpoint refused it unrun.
-    Completed,     ///< Every stage ran and the whole answer is here.
-    RanIncomplete, ///< Some stages ran to their end, the others surely did not run.
-    Unknown,       ///< A stage was sent and may or may not have run.
+    NotRun,        ///< No byte of any stage was sent, or the endpoint refused it before running it.
+    Completed,     ///< Every stage ran and the answer is complete.
+    RanIncomplete, ///< Some stages completed; the others certainly did not run.
+    Unknown,       ///< A stage was sent and may have run.
 };
 
-/// "completed", "not-run", "incomplete" or "unknown".
+/// Returns "completed", "not-run", "incomplete" or "unknown".
 [[nodiscard]] std::string_view toText(Outcome outcome);
 
 /// Why a request was not completed.
@@ -63,42 +62,42 @@
     None,
     UnknownPipeline,
     UnknownAccount,
-    KeyMissing, ///< The pipeline may not be repeated and there is no idempotency key.
+    KeyMissing, ///< The pipeline is not repeatable and the request has no idempotency key.
     BodyTooLarge,
-    TooManyRequests, ///< The daemon holds as many as it may.
-    CannotFinish,    ///< The predicted time does not fit into the deadline.
-    NoEndpoint,      ///< The pool has none that may be sent work.
+    TooManyRequests, ///< The daemon has reached its limit of requests in progress.
+    CannotFinish,    ///< The predicted time exceeds the deadline.
+    NoEndpoint,      ///< The pool has no endpoint that accepts work.
     DeadlineExceeded,
     StageFailed,
-    ClaimUnavailable, ///< The platform could not be asked for the claim in time.
-    KeyReused,        ///< The key came before with another request.
-    MayHaveRun,       ///< The key was claimed and what became of it is not known.
+    ClaimUnavailable, ///< The claim could not be acquired from the platform in time.
+    KeyReused,        ///< The idempotency key was used with another request before.
+    MayHaveRun,       ///< The key was claimed earlier and the outcome of that request is unknown.
     Draining,         ///< The daemon is stopping.
-    NotReady,         ///< The daemon has no configuration yet.
-    Quarantined,      ///< Endpoints have ended under such requests, which are not run any more.
-    CallerGone,       ///< The caller's connection broke; nobody hears this.
+    NotReady,         ///< The daemon has not received a configuration yet.
+    Quarantined,      ///< Requests with this digest have crashed endpoints and are no longer run.
+    CallerGone,       ///< The caller disconnected; the answer is not delivered.
 };
-/// How many reasons there are.
+/// The number of enumerators of Reason.
 inline constexpr std::size_t reasonCount = static_cast<std::size_t>(Reason::CallerGone) + 1;
 
-/// A short name for metrics, as in "cannot-finish".
+/// Returns the name used in metrics, such as "cannot-finish".
 [[nodiscard]] std::string_view toText(Reason reason);
 
-/// What is known of whether an endpoint saw a call that failed.
+/// Whether an endpoint may have run a call that failed.
 enum class SendEvidence {
-    NothingSent,      ///< The connection was never made.
-    RefusedBeforeRun, ///< The endpoint says, as its protocol allows, that nothing ran.
-    Sent,             ///< Bytes left; the endpoint may have run it.
+    NothingSent,      ///< The connection was not established.
+    RefusedBeforeRun, ///< The endpoint reported, as its protocol allows, that nothing ran.
+    Sent,             ///< Bytes were sent; the endpoint may have run the call.
 };
 
-/// Time and cost that one stage took.
+/// Time and cost of one stage.
 struct StageCost
 {
     std::string stage;
     std::string pool;
-    Duration elapsed{}; ///< From the send to the answer, over all attempts.
-    Duration busy{};    ///< The endpoint's own time, where it tells it.
-    double cost = 0;    ///< The busy time at the pool's price.
+    Duration elapsed{}; ///< From send to answer, summed over all attempts.
+    Duration busy{};    ///< Service time reported by the endpoint; else the elapsed time.
+    double cost = 0;    ///< The busy time multiplied by the pool's cost per second.
     std::uint32_t sends = 0;
 };
 
--- a/lib/Kernel/clienttimeoutmodel.cpp
+++ b/lib/Kernel/clienttimeoutmodel.cpp
@@ -1,4 +1,4 @@
-//===- clienttimeoutmodel.cpp - Time callers spent -----------------------------===//
+//===- clienttimeoutmodel.cpp - Client timeouts ---------------------------===//
 
 #include "harelink/Kernel/clienttimeoutmodel.h"
 
@@ -9,18 +9,18 @@
 namespace harelink {
 namespace {
 
-/// Requests on their first try differ by so much: the way from the caller, and connections
-/// that are made first.
+/// Maximum spread of the timeouts of first attempts, caused by network latency and connection
+/// setup.
 constexpr std::chrono::milliseconds firstTrySpread{50};
-/// What is usual is allowed by at least this part of requests, and by so many: first tries
-/// are that many even where callers come back often, and the few that are more patient than
-/// others are fewer.
+/// A timeout is typical if at least one in typicalShareDivisor requests, and at least
+/// minTypicalSamples of them, use it. First attempts reach this share even if callers retry
+/// often; the few callers with longer timeouts do not.
 constexpr std::size_t typicalShareDivisor = 6;
 constexpr std::size_t minTypicalSamples = 4;
 
 } // namespace
 
-/// The longest time that callers usually allow; zero where no time is usual.
+/// Returns the longest typical client timeout; zero if there is none.
 Duration ClientTimeoutModel::typicalTimeout() const
 {
     const std::size_t count = std::min(m_recorded, sampleCount);
--- a/lib/Kernel/requestdigest.cpp
+++ b/lib/Kernel/requestdigest.cpp
@@ -1,4 +1,4 @@
-//===- requestdigest.cpp - What a request asks ----------------------------===//
+//===- requestdigest.cpp - Request digests --------------------------------===//
 
 #include "harelink/Kernel/requestdigest.h"
 
@@ -10,7 +10,7 @@
 
 Hash128 digestOf(const RequestArrived &request, const std::string &account)
 {
-    // The body is hashed first and by itself: it may be large, and is not copied.
+    // Hashes the body separately to avoid copying it: it may be large.
     if (request.proxied) {
         const ProxiedRequest &proxied = *request.proxied;
         return hash128(fmt::format("{}\n{}\n{}\n{}\n{}", proxied.method, proxied.host,
--- a/lib/Kernel/requestmachine.cpp
+++ b/lib/Kernel/requestmachine.cpp
@@ -1,4 +1,4 @@
-//===- requestmachine.cpp - The product's request machine -----------------===//
+//===- requestmachine.cpp - Production request machine --------------------===//
 
 #include "harelink/Kernel/requestmachineimpl.h"
 
--- a/lib/Kernel/retrybudget.cpp
+++ b/lib/Kernel/retrybudget.cpp
@@ -1,4 +1,4 @@
-//===- retrybudget.cpp - Repeated sends -----------------------------------===//
+//===- retrybudget.cpp - Retry budget -------------------------------------===//
 
 #include "harelink/Kernel/retrybudget.h"
 
@@ -7,8 +7,8 @@
 namespace harelink {
 namespace {
 
-/// The part of the bound that is used: daemons divide it by what they know of each
-/// other, and calls arrive later than they were counted here.
+/// The fraction of the limit that is used. The margin covers outdated daemon counts and calls
+/// that arrive later than they were counted here.
 constexpr double usableFraction = 0.75;
 
 } // namespace
