--- a/include/harelink/Kernel/requestadmissionimpl.h
+++ b/include/harelink/Kernel/requestadmissionimpl.h
@@ -1,7 +1,7 @@
-//===- harelink/Kernel/requestadmissionimpl.h - Predicted times -*- C++ -*-===//
+//===- harelink/Kernel/requestadmissionimpl.h - Admission -------*- C++ -*-===//
 ///
 /// \file
-/// What time a request is predicted to need, and whether it can be in time.
+/// Predicts the duration of a request and whether it can meet its deadline.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -20,7 +20,7 @@
 
 namespace harelink {
 
-/// The time that the stages left need, without waiting.
+/// Returns the predicted time of the remaining stages without queueing.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::remainingTime(const Request &request)
 {
@@ -32,8 +32,8 @@
     return total;
 }
 
-/// The time that all stages of a new request need, with the queues before them.
-/// While the request is at one stage, the queues of the later ones move on.
+/// Returns the predicted time of all stages of a new request including queueing. The queues of
+/// later stages advance while the request is at an earlier one.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::timeWithWaits(const Request &request, const Snapshot &snapshot)
 {
@@ -45,15 +45,15 @@
     return total;
 }
 
-/// Whether a request that still needs \p needed is predicted to be in time.
+/// Returns whether a request that still needs \p needed is predicted to meet its deadline.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::fitsDeadline(const Request &request, Duration needed)
 {
     return !G::admitsByPrediction || m_clock.now() + needed < request.deadline;
 }
 
-/// What goes before \p request at a stage's pool now, and how fast it is sent on from
-/// this worker.
+/// Returns the number of requests that precede \p request at a stage's pool, and the interval
+/// at which this worker dispatches them.
 template <GuardPolicy G>
 auto BasicRequestMachine<G>::queueForecast(const Request &request, const StageSpec &stage,
                                            const Snapshot &snapshot) -> QueueForecast
@@ -63,7 +63,8 @@
     if (pool == nullptr || state.demand.size() == 0) {
         return {};
     }
-    // At best this worker has the whole pool; how fast its queue moved says more.
+    // The lower bound assumes that this worker has its full share of the pool; the measured
+    // pace of its queue is more accurate.
     const int slots = std::max(1, pool->totalSlots);
     const Duration atBest =
         state.latency.median(m_clock.now(), request.bytes()) * m_limits.workers / slots;
@@ -72,8 +73,8 @@
     return {state.demand.requestsAhead(snapshot, request.account), interval};
 }
 
-/// The time until all that now goes before \p request has been sent to a stage's
-/// pool, from this worker.
+/// Returns the time until this worker has dispatched all requests that precede \p request at a
+/// stage's pool.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::queueWait(const Request &request, const StageSpec &stage,
                                            const Snapshot &snapshot)
@@ -82,7 +83,7 @@
     return requestmachine::fromSeconds(forecast.ahead * requestmachine::seconds(forecast.interval));
 }
 
-/// Why a new request is predicted to be late: the queue that it would wait longest in.
+/// Describes why a new request is predicted to miss its deadline, by its longest queue.
 template <GuardPolicy G>
 std::string BasicRequestMachine<G>::describeLateness(const Request &request, Duration needed,
                                                      const Snapshot &snapshot)
@@ -104,8 +105,8 @@
                        forecast.ahead, slowest->pool, toMilliseconds(forecast.interval), state);
 }
 
-/// Counts a request in the demand of its stages' pools from stage \p from on, and
-/// no more in that of the stages before.
+/// Counts a request in the demand of the pools of stage \p from and later ones, and removes it
+/// from the demand of earlier stages.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::countDemand(Request &request, std::uint32_t from)
 {
@@ -137,7 +138,7 @@
         }
     }
     if (request.proxied && request.predicted > Duration::zero()) {
-        // By then its pools will have worked off what makes it late now.
+        // By then its pools will have processed the backlog that makes it late now.
         const Duration late = forecast(request, snapshot) - request.pipeline.route->objective;
         wait = std::max(wait, std::min<Duration>(late, requestmachine::maxRetryAfter));
     }
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/requestanswersimpl.h - Answers -----------*- C++ -*-===//
 ///
 /// \file
-/// What an answer, a part of one or a failure does to its request.
+/// Handles answers, chunks and failures of calls.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -19,7 +19,7 @@
 
 namespace harelink {
 
-/// The request that now waits for an answer to \p call, or null.
+/// Returns the request that waits for an answer to \p call; null if there is none.
 template <GuardPolicy G>
 auto BasicRequestMachine<G>::findCurrent(const CallId &call) -> Request *
 {
@@ -32,7 +32,7 @@
     return request;
 }
 
-/// Takes an answer that is not the request's own for a failure of its call.
+/// Handles an answer that belongs to another call as a failure of the call.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::rejectAnswer(const Request &request, std::string_view message,
                                           const Snapshot &snapshot)
@@ -58,7 +58,7 @@
         rejectAnswer(*request, "the stream carries another call's identity", snapshot);
         return;
     }
-    // A token is passed on once, and none before those that stand in front of it.
+    // Each token is forwarded once and in order.
     if (G::matchesAttempts && event.firstToken != request->tokens) {
         rejectAnswer(*request, "the stream repeats or leaves out a token", snapshot);
         return;
@@ -202,7 +202,7 @@
     m_suspects.insert(event.digest);
 }
 
-/// Hands on what an answer to the call in progress says of its endpoint.
+/// Records and reports the endpoint notice in an answer to the call in progress.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordNotice(const Request &request,
                                           const std::optional<EndpointNotice> &notice,
@@ -240,8 +240,8 @@
     m_actions.emplace_back(std::move(action));
 }
 
-/// Settles the calls to an endpoint whose life is over, as for one that broke off: it knows
-/// nothing of them any more, and nothing says how far it came.
+/// Fails the calls to an endpoint instance that has ended like calls whose connection was lost:
+/// its successor has no record of them, and their progress is unknown.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handle(const EndpointEnded &event, const Snapshot &snapshot)
 {
@@ -251,7 +251,7 @@
             calls.push_back(request->call());
         }
     }
-    // The oldest first: whoever came first is sent on first.
+    // Oldest first, so that retries keep the order of arrival.
     std::sort(calls.begin(), calls.end(), [](const CallId &a, const CallId &b) {
         return a.request.sequence < b.request.sequence;
     });
@@ -280,7 +280,7 @@
         return;
     }
     if (event.proxied && !request.headForwarded) {
-        // The endpoint's own failure says more to its caller than one of ours.
+        // The endpoint's own error is more useful to the caller than a generic one.
         AnswerCaller action;
         action.outcome = outcomeOfFailure(request);
         action.reason = Reason::StageFailed;
@@ -308,7 +308,7 @@
     if (!fitsDeadline(request, remainingTime(request))) {
         return false;
     }
-    // These cost the endpoint nothing, and it is left alone for a while already.
+    // Such a retry cost the endpoint no work, and the endpoint is already avoided for a while.
     if (evidence != SendEvidence::Sent) {
         return true;
     }
@@ -377,7 +377,8 @@
     m_requests.erase(request.id.sequence);
 }
 
-/// Notices that the process itself stood still: what seems slow was not.
+/// Detects that this process was suspended, so that elapsed times are not taken as slowness of
+/// endpoints.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::detectSuspension()
 {
@@ -391,7 +392,7 @@
     m_lastEventAt = now;
 }
 
-/// Learns from a call, unless this process slept while it was in progress.
+/// Records the latency of a call unless this process was suspended during it.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordLatency(const Request &request, Duration elapsed)
 {
@@ -400,7 +401,7 @@
     }
 }
 
-/// Learns from a call that is given up on, as recordLatency() does.
+/// Records a call that timed out; see recordLatency().
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordTimedOutCall(const Request &request, const Snapshot &snapshot)
 {
--- a/include/harelink/Kernel/requestclaimsimpl.h
+++ b/include/harelink/Kernel/requestclaimsimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/requestclaimsimpl.h - Claims -------------*- C++ -*-===//
 ///
 /// \file
-/// How a request that may not be repeated comes by its claim and ends it.
+/// Acquires and finishes the claims of requests that are not repeatable.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -37,8 +37,8 @@
 {
     Request *request = find(event.claimant);
     if (request == nullptr || request->phase != Request::Phase::Claiming) {
-        // Only a request that was given up while it waited gives a grant back.
-        // One that ran may see a copy of its grant, and must not release it.
+        // Only a request that was answered while it waited for the claim releases a late grant.
+        // A request that ran may receive a duplicate of its grant and must not release it.
         const bool givenUp = m_unawaitedClaims.contains(event.claimant.sequence);
         if (event.verdict == ClaimVerdict::Granted && request == nullptr && givenUp) {
             ++m_counters.lateGrants;
@@ -77,7 +77,7 @@
         return;
     }
     case ClaimVerdict::Unavailable:
-        // Nothing was written, but a copy of the claim may still be on its way.
+        // Nothing was written, but a copy of the claim may still be in flight.
         recordUnawaitedClaim(*request);
         if (event.inDoubt) {
             finishClaim(*request, Outcome::NotRun, {});
@@ -90,7 +90,8 @@
     }
 }
 
-/// A grant may still come for a request that is answered while it waits for one.
+/// Records a request that is answered while it waits for a claim, since the grant may still
+/// arrive.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordUnawaitedClaim(const Request &request)
 {
@@ -104,7 +105,7 @@
 void BasicRequestMachine<G>::finishClaim(const Request &request, Outcome outcome,
                                          const std::string &answer)
 {
-    // Whoever still waits for a grant may have got one: it must be given back.
+    // A request that waits for a grant may have been granted the claim, which must be released.
     const bool mayHoldClaim = request.holdsClaim || request.phase == Request::Phase::Claiming;
     if (request.pipeline.repeatable || !mayHoldClaim) {
         return;
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/requestdispatchimpl.h - Dispatch ---------*- C++ -*-===//
 ///
 /// \file
-/// How waiting requests are sent, and what is booked for each call.
+/// Dispatches queued requests and accounts for each call.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -44,7 +44,7 @@
     if (const std::shared_ptr<AccountLoad> load = accountLoad(request, snapshot)) {
         request.demand = ScopedCount({load, &load->demand});
     }
-    // It is given up on as soon as it can no longer finish, not at its deadline.
+    // Fails as soon as it can no longer complete in time, not only at its deadline.
     schedule(request, request.deadline - remainingTime(request));
 }
 
@@ -55,12 +55,12 @@
     PoolState &state = poolState(poolName);
     const TimePoint now = m_clock.now();
     if (pool == nullptr) {
-        state.shares = {}; // Nothing may hold back those who are to be told so.
+        state.shares = {}; // No slot share may delay requests that must fail now.
     } else if (G::sharesSlots && state.queue.size() > 0) {
         state.shares.update(snapshot, *pool, now);
     }
-    // Requests that wait for a turn at endpoints that rate limits or pauses close.
-    std::vector<FairQueue::Waiter> held;
+    // Requests that wait for a send slot at endpoints under rate limits or pauses.
+    std::vector<FairQueue::Waiter> waitingForSlot;
     while (const std::optional<std::uint64_t> sequence =
                state.queue.pop(snapshot, poolName, state.shares, now)) {
         Request &request = *m_requests.at(*sequence);
@@ -78,12 +78,13 @@
         const EndpointEntry *avoid =
             request.endpoint.empty() ? nullptr : pool->find(request.endpoint);
         const PromptInfo prompt = promptInfo(request);
-        const PromptInfo *need = pool->spec.engine && prompt.tokens > 0 ? &prompt : nullptr;
+        const PromptInfo *promptOrNull = pool->spec.engine && prompt.tokens > 0 ? &prompt : nullptr;
         const EndpointEntry *endpoint = chooseEndpoint(
-            {*pool, now, preferredEndpoint(request, *pool), avoid, need, &regions}, snapshot);
+            {*pool, now, preferredEndpoint(request, *pool), avoid, promptOrNull, &regions},
+            snapshot);
         if (endpoint == nullptr && unavailableUntil(*pool, regions, now)) {
-            if (hasSendSlot(request, snapshot, held.size())) {
-                held.push_back(queueKey(request));
+            if (hasSendSlot(request, snapshot, waitingForSlot.size())) {
+                waitingForSlot.push_back(queueKey(request));
             } else {
                 failWithoutSendSlot(request, poolName, snapshot);
             }
@@ -93,22 +94,22 @@
             state.queue.push(queueKey(request));
             break;
         }
-        // A probe says nothing of how fast the queue moves.
+        // A probe does not indicate the pace of the queue.
         if (!isOnProbation(*endpoint)) {
             state.pace.recordDispatch(now);
         }
         send(request, *pool, *endpoint, snapshot);
     }
-    for (const FairQueue::Waiter &place : held) {
-        state.queue.push(place);
+    for (const FairQueue::Waiter &waiter : waitingForSlot) {
+        state.queue.push(waiter);
     }
     if (pool != nullptr && state.queue.size() > 0) {
         recordStall(state, *pool);
     }
 }
 
-/// Tells the pace of a queue in which requests wait whether they wait for room or for an
-/// endpoint that may be sent to at all.
+/// Records in the pace of a non-empty queue whether its requests wait for a free slot or for
+/// an available endpoint.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordStall(PoolState &state, const PoolEntry &pool)
 {
@@ -127,7 +128,7 @@
     }
 }
 
-/// An endpoint that may be sent to, with this daemon's turn at it; null where there is none.
+/// Chooses an endpoint and claims one of this daemon's send slots at it; null if there is none.
 template <GuardPolicy G>
 const EndpointEntry *BasicRequestMachine<G>::chooseEndpoint(RoutingQuery query,
                                                             const Snapshot &snapshot)
@@ -145,24 +146,25 @@
             query.coldOnly = true;
             endpoint = m_policy->choose(query, m_random);
         }
-        // Another worker may have taken the turn; then the endpoint is closed.
+        // Another worker may have claimed the slot first; then the endpoint is unavailable.
     } while (endpoint != nullptr && !claimSendSlot(*endpoint, query.now));
     return endpoint;
 }
 
-/// Whether a request waits for a status check, which is made where it would go to an endpoint
-/// that may be cold: its home, or any where no other endpoint is known to be warm.
+/// Returns whether a request must wait for a cold check. A check is started if the request
+/// would go to an endpoint that may be cold: its preferred endpoint, or any endpoint if none
+/// is known to be warm.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::awaitsColdCheck(const RoutingQuery &query)
 {
     RoutingQuery unchecked = query;
     unchecked.requiresWarm = false;
     const EndpointEntry *endpoint = query.preferred;
-    const bool prefersUnchecked = endpoint != nullptr && isEligible(*endpoint, unchecked);
-    if (prefersUnchecked && isEligible(*endpoint, query)) {
+    const bool isPreferredEligible = endpoint != nullptr && isEligible(*endpoint, unchecked);
+    if (isPreferredEligible && isEligible(*endpoint, query)) {
         return false;
     }
-    if (!prefersUnchecked) {
+    if (!isPreferredEligible) {
         if (m_policy->choose(query, m_random) != nullptr) {
             return false;
         }
@@ -180,8 +182,8 @@
     return true;
 }
 
-/// When \p request has to be sent at the latest to be worth waiting for its turn here: what is
-/// carried may come sooner at another daemon.
+/// Returns the latest send time for which \p request waits for a send slot here. Proxied
+/// requests may be sent sooner by another daemon.
 template <GuardPolicy G>
 TimePoint BasicRequestMachine<G>::latestStart(const Request &request)
 {
@@ -189,8 +191,8 @@
     return request.proxied ? std::min(latest, request.objectiveAt) : latest;
 }
 
-/// Whether the pool of \p request accepts it in time, behind \p ahead others that wait for
-/// rate limits there.
+/// Returns whether the pool of \p request has a send slot for it in time, after \p ahead other
+/// requests that wait for rate limits there.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::hasSendSlot(const Request &request, const Snapshot &snapshot,
                                          std::size_t ahead)
@@ -202,7 +204,7 @@
            || sendSlotsUntil(*pool, regions, now, latestStart(request)) > ahead;
 }
 
-/// The first stage of a new request whose pool will not accept it in time; null for none.
+/// Returns the first stage of a new request whose pool has no send slot in time; null if none.
 template <GuardPolicy G>
 const StageSpec *BasicRequestMachine<G>::stageWithoutSendSlot(const Request &request,
                                                               const Snapshot &snapshot)
@@ -231,7 +233,8 @@
          snapshot);
 }
 
-/// Where \p request may be served; bounds of the request's own, and of the snapshot.
+/// Returns the regions that may serve \p request; refers to data of the request and of the
+/// snapshot.
 template <GuardPolicy G>
 RegionLimit BasicRequestMachine<G>::regionsOf(const Request &request, const Snapshot &snapshot)
 {
@@ -241,9 +244,9 @@
             account != nullptr ? account->spec.allowedRegions : anywhere};
 }
 
-/// Ends \p request where it came to be known, after it was taken in, as one under which
-/// endpoints end. Asked before each send and not only at admission: daemons hold copies of
-/// such a request in queues, before their pieces are made, and for a retry.
+/// Fails \p request if it was quarantined after its admission, since it crashes endpoints.
+/// Checked before each send and not only at admission: daemons hold copies of such a request
+/// in queues, while its pieces are computed, and for retries.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::rejectQuarantined(Request &request, const Snapshot &snapshot)
 {
@@ -261,7 +264,7 @@
     return true;
 }
 
-/// The endpoint of the call in progress; null for one that is no longer declared.
+/// Returns the endpoint of the call in progress; null if it is no longer declared.
 template <GuardPolicy G>
 const EndpointEntry *BasicRequestMachine<G>::endpointOf(const Request &request,
                                                         const Snapshot &snapshot)
@@ -270,7 +273,7 @@
     return pool == nullptr ? nullptr : pool->find(request.endpoint);
 }
 
-/// The endpoint that is likely to have the request's prompt still at hand.
+/// Returns the endpoint that probably has the request's prompt prefix cached; null if none.
 template <GuardPolicy G>
 const EndpointEntry *BasicRequestMachine<G>::preferredEndpoint(const Request &request,
                                                                const PoolEntry &pool)
@@ -279,8 +282,8 @@
         return nullptr;
     }
     if (request.proxied) {
-        // The last part is the request's own; the one before it is the longest beginning
-        // that others have too.
+        // The last segment is specific to this request; the one before it ends the longest
+        // prefix shared with other requests.
         const std::vector<PromptPart> &parts = request.proxied->prompt;
         const bool hasAffinity =
             parts.size() >= 2
@@ -301,7 +304,7 @@
 {
     assert((request.pipeline.repeatable || request.holdsClaim || request.proxied
             || !G::claimsBeforeSending)
-           && "a request that may not be repeated is sent under a claim only");
+           && "a request that is not repeatable must hold a claim when it is sent");
     const TimePoint now = m_clock.now();
     request.phase = Request::Phase::Running;
     countDemand(request, request.stage + 1);
@@ -358,8 +361,8 @@
     m_actions.emplace_back(std::move(action));
 }
 
-/// Books use of the stage's pool to the account. A call is charged when it is
-/// sent, by estimate, so that a burst cannot outrun its own bill.
+/// Charges usage of the stage's pool to the account. A call is charged an estimate when it is
+/// sent, so that a burst cannot precede its charges.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::charge(const Request &request, Duration amount,
                                     const Snapshot &snapshot)
@@ -369,7 +372,7 @@
     }
 }
 
-/// The account's load at the stage's pool; null for what is no longer declared.
+/// Returns the account's load at the stage's pool; null if either is no longer declared.
 template <GuardPolicy G>
 std::shared_ptr<AccountLoad> BasicRequestMachine<G>::accountLoad(const Request &request,
                                                                  const Snapshot &snapshot)
@@ -382,7 +385,8 @@
     return found == account->loads.end() ? nullptr : found->second;
 }
 
-/// Books the end of the call in progress: the endpoint's place and the use.
+/// Ends the accounting of the call in progress: releases the endpoint's slot and records the
+/// elapsed time.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::settleCall(Request &request, const Snapshot &snapshot)
 {
@@ -394,7 +398,7 @@
     releasePromptTokens(request, snapshot);
     if (const EndpointEntry *endpoint = endpointOf(request, snapshot)) {
         const int before = endpoint->load->inFlight.fetch_sub(1, std::memory_order_relaxed);
-        // An endpoint declared anew under the same name starts from zero.
+        // An endpoint that was redeclared under the same name starts from zero.
         if (before <= 0) {
             endpoint->load->inFlight.store(0, std::memory_order_relaxed);
         }
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -1,9 +1,9 @@
 //===- harelink/Kernel/requestmachineimpl.h - Definitions -------*- C++ -*-===//
 ///
 /// \file
-/// The definitions of BasicRequestMachine, with those of the files that it
-/// includes. Included only where the template is instantiated: once in the
-/// product, and by tests that take a guard out.
+/// Member definitions of BasicRequestMachine, together with the files included here.
+/// Included only where the template is instantiated: once in production code, and in tests
+/// that disable a guard.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -145,8 +145,8 @@
         return refusal(Reason::KeyMissing, absl::StatusCode::kInvalidArgument, "admission", "",
                        "this pipeline may not be repeated and needs an idempotency key");
     }
-    // Before all that costs anything; a copy that is in progress is refused before its next
-    // send, as rejectQuarantined() says.
+    // Checked before any work is spent on the request. Copies that are already in progress are
+    // refused before their next send; see rejectQuarantined().
     if (const Duration left = quarantineLeft(digest, snapshot); left > Duration::zero()) {
         AnswerCaller answer = refusal(Reason::Quarantined, absl::StatusCode::kFailedPrecondition,
                                       "admission", "", requestmachine::quarantineMessage);
@@ -160,7 +160,7 @@
     return std::nullopt;
 }
 
-/// For how long requests with \p digest are not run.
+/// Returns the remaining quarantine of requests with \p digest; zero if none.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::quarantineLeft(const Hash128 &digest,
                                                 const Snapshot &snapshot) const
@@ -201,7 +201,7 @@
         applyRoute(request, snapshot);
     }
     const bool added = m_requests.emplace(event.id.sequence, std::move(owned)).second;
-    assert(added && "a request arrives once");
+    assert(added && "a request must arrive only once");
     (void)added;
 
     request.demandFrom = static_cast<std::uint32_t>(request.pipeline.stages.size());
@@ -228,8 +228,8 @@
     }
     countDemand(request, 0);
     schedule(request, request.deadline - requestmachine::answerMargin);
-    // A proxied request has an id of its own and is this daemon's alone: it is sent once
-    // and needs no claim.
+    // A proxied request needs no claim: it has an ID of its own and reaches only this daemon,
+    // which sends it once.
     if (!request.proxied && !request.pipeline.repeatable && G::claimsBeforeSending) {
         claim(request);
         return;
@@ -288,7 +288,7 @@
     }
     const Duration needed = remainingTime(request);
     if (!due && fitsDeadline(request, needed)) {
-        // The estimate fell since it was queued: there is more time to wait.
+        // The estimate fell since the request was queued, so it may wait longer.
         if (G::admitsByPrediction) {
             schedule(request, request.deadline - needed);
         }
@@ -301,7 +301,7 @@
         step = "pieces";
     }
     if (request.phase == Request::Phase::Running) {
-        // It says the endpoint is slow, and the slowness is what must be learnt.
+        // The timeout is evidence that the endpoint is slow and must enter the latency model.
         recordTimedOutCall(request, snapshot);
     }
     withdraw(request, snapshot);
@@ -312,7 +312,7 @@
          snapshot);
 }
 
-/// Takes a request out of its queue, or stops its call.
+/// Removes a request from its queue, or cancels its call.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::withdraw(Request &request, const Snapshot &snapshot)
 {
@@ -332,8 +332,8 @@
     if (request == nullptr) {
         return;
     }
-    // What may not be repeated goes on: its result is kept for a retry. Of a carried
-    // request nothing is kept, and nobody is left to want it.
+    // A request that is not repeatable continues: its result is stored for a retry. Results of
+    // proxied requests are not stored, so nobody could receive them.
     if (!request->proxied && !request->pipeline.repeatable) {
         return;
     }
--- a/include/harelink/Kernel/requestmachinestate.h
+++ b/include/harelink/Kernel/requestmachinestate.h
@@ -1,7 +1,7 @@
 //===- harelink/Kernel/requestmachinestate.h - State ------------*- C++ -*-===//
 ///
 /// \file
-/// What BasicRequestMachine keeps of a request and of a pool, and its constants.
+/// Per-request and per-pool state of BasicRequestMachine, and its constants.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -24,67 +24,70 @@
 
 namespace requestmachine {
 
-/// A caller is answered this long before its deadline, so that the answer is in time.
+/// A caller is answered this long before its deadline, so that the answer arrives in time.
 inline constexpr std::chrono::milliseconds answerMargin{2};
-/// Least time between two status checks of a pool's endpoints by one worker.
+/// Minimum time between two cold checks of a pool's endpoints by one worker.
 inline constexpr std::chrono::milliseconds minColdCheckInterval{20};
-/// How soon a waiting queue is looked at again: another worker may have freed an endpoint.
+/// Interval at which queues are polled: another worker may have released an endpoint.
 inline constexpr std::chrono::milliseconds queuePollInterval{5};
-/// The shortest time after which a refused caller is told to come back.
+/// Minimum retry delay reported to a refused caller.
 inline constexpr std::chrono::milliseconds minRetryAfter{100};
-/// The longest for a proxied request: what a forecast says of later is worth nothing.
+/// Maximum retry delay for a proxied request: forecasts beyond it are unreliable.
 inline constexpr std::chrono::milliseconds maxRetryAfter{5000};
-/// The longest where rate limits are used up: another daemon may have a turn sooner.
+/// Maximum retry delay if rate limits are exhausted: another daemon may have a send slot sooner.
 inline constexpr std::chrono::milliseconds maxRateLimitedRetryAfter{1000};
-/// Retries earned by each first send, and the most that can be saved up.
+/// Retry tokens earned by each first send, and the maximum balance.
 inline constexpr double retryTokensPerSend = 0.1;
 inline constexpr double maxRetryTokens = 20;
-/// Sends of one request over all its stages, those refused before running apart.
+/// Maximum number of sends of one request over all its stages, not counting those refused
+/// before running.
 inline constexpr std::uint32_t maxAttempts = 16;
-/// Bytes of a request that are taken for its prompt's prefix.
+/// Number of leading bytes of a request that are used as its prompt prefix.
 inline constexpr std::size_t prefixBytes = 256;
-/// The charge for a call while nothing is known of its pool.
+/// Charge for a call to a pool without latency samples.
 inline constexpr std::chrono::milliseconds defaultCharge{1};
-/// How long a grant may be late and still be given back.
+/// Time after which a late claim grant is no longer released.
 inline constexpr std::chrono::minutes lateGrantRetention{10};
-/// A machine has a turn more often than this, unless its process stands still.
+/// A machine handles events more often than this unless its process is suspended.
 inline constexpr std::chrono::milliseconds maxEventGap{750};
 
-/// Sends of one proxied request, those refused before running among them: each costs a
-/// connection and a part of the budget that all daemons share.
+/// Maximum number of sends of one proxied request, including those refused before running:
+/// each costs a connection and a share of the common retry budget.
 inline constexpr std::uint32_t maxProxiedSends = 4;
-/// Daemons that the retry budget is divided among while fewer are known.
+/// Minimum number of daemons assumed when the retry budget is divided.
 inline constexpr int minDaemonCount = 3;
-/// Tokens of prompts that a model engine reads in a second, until it is learnt.
+/// Initial estimate of the prompt tokens that a model engine prefills per second.
 inline constexpr double defaultPrefillRate = 50'000;
-/// Prompts of fewer tokens say little of that rate: a step of the engine takes as long.
+/// Prompts with fewer tokens are not used to estimate that rate: a single engine step
+/// takes as long.
 inline constexpr std::uint64_t minPrefillSampleTokens = 4'000;
-/// Share by which one sample moves the learnt rate, or the learnt error of forecasts.
+/// Smoothing factor of the estimated prefill rate and of the forecast bias.
 inline constexpr double forecastSmoothing = 0.05;
 inline constexpr double minForecastBias = 0.7;
 inline constexpr double maxForecastBias = 2;
-/// A prompt with fewer shared tokens has no home: to read them again costs users less than
-/// results of pieces that cross data centres.
+/// A prompt with fewer shared tokens has no preferred endpoint: prefilling them again costs
+/// less than transferring piece results between data centres.
 inline constexpr std::uint64_t minAffinityTokens = 1'500;
-/// What a model engine needs besides reading: its first step and the hops.
+/// Time to the first event beside prefill: the engine's first step and the network hops.
 inline constexpr std::chrono::milliseconds firstEventOverhead{25};
-/// A forecast is taken to be this many times as long: half of them are too short.
+/// Factor applied to forecasts at admission, since half of them are too short.
 inline constexpr double admissionMargin = 1.12;
-/// Requests that are taken in although they will miss their objective: so many at once at
-/// all daemons together, and only where they are predicted to be done within their caller's
-/// patience. They fill places that nobody else wants. Four at each of nine daemons served
-/// most; four at each of 86 would be more than all engines of a stage have places for.
+/// Maximum number of requests in progress, over all daemons together, that are admitted
+/// although they are predicted to miss their objective. They use otherwise idle slots and must
+/// be predicted to complete within the client timeout. Four at each of nine daemons served the
+/// most requests; four at each of 86 would exceed the slots of all engines of a stage.
 inline constexpr double maxLateAdmissions = 36;
-/// A request whose pieces are not made in so many times its objective, or in this part of
-/// its caller's patience, is given up: it is late already, and holds up those that are not.
+/// A request is failed if its pieces are not completed within this multiple of its objective,
+/// or within this fraction of the client timeout: it is late already and delays requests
+/// that are not.
 inline constexpr double maxPreparationObjectives = 1.5;
 inline constexpr double preparationTimeoutShare = 0.7;
-/// Added to the priority of a request that will miss its objective.
+/// Added to the priority value of a request that is predicted to miss its objective.
 inline constexpr int latePriorityPenalty = 100;
-/// How often lost results of one request are made again.
+/// How often the lost results of one request are recomputed.
 inline constexpr std::uint32_t maxRecomputations = 2;
 
-/// Requests whose good ends are waited for; all are forgotten where they would be more.
+/// Maximum number of digests whose completion is awaited; beyond it, all are dropped.
 inline constexpr std::size_t maxSuspects = 4096;
 inline constexpr std::string_view quarantineMessage =
     "endpoints have ended under such requests, which are not run any more";
@@ -101,7 +104,7 @@
 
 } // namespace requestmachine
 
-/// What the machine keeps of a request.
+/// The state of one request.
 template <GuardPolicy G>
 struct BasicRequestMachine<G>::Request
 {
@@ -109,7 +112,7 @@
 
     RequestId id;
     std::string account;
-    Hash128 digest; ///< As digestOf() gives it.
+    Hash128 digest; ///< See digestOf().
     PipelineSpec pipeline;
     std::string body;
     std::string idempotencyKey;
@@ -120,46 +123,47 @@
     Phase phase = Phase::Queued;
     std::uint32_t stage = 0;
     std::uint32_t attempt = 0;
-    /// The first stage that is counted in its pool's demand, as are all after it.
+    /// The first stage counted in its pool's demand; all later stages are counted too.
     std::uint32_t demandFrom = 0;
     std::uint32_t refusals = 0; ///< Attempts that an endpoint refused before running them.
     bool holdsClaim = false;
     bool streams = false;
-    std::uint64_t tokens = 0; ///< Passed on to the caller, with their text.
+    std::uint64_t tokens = 0; ///< Tokens sent to the caller; their text is in \c text.
     std::string text;
     Duration timeToFirstChunk{};
     bool stageMayHaveRun = false; ///< A send of the current stage may have run.
     std::string previous;
-    std::string endpoint; ///< Of the call in progress, or of the last one that failed.
+    std::string endpoint; ///< Endpoint of the call in progress, or of the last failed call.
     TimePoint sentAt;
     Duration charged{};
-    ScopedCount demand;   ///< While it waits or is in flight at a pool.
-    ScopedCount inFlight; ///< While it is in flight.
+    ScopedCount demand;   ///< Held while it is queued or in flight at a pool.
+    ScopedCount inFlight; ///< Held while it is in flight.
     std::vector<StageCost> costs;
 
-    std::shared_ptr<const ProxiedRequest> proxied; ///< Null for the product's own requests.
+    std::shared_ptr<const ProxiedRequest> proxied; ///< Null for requests of the daemon's own API.
     int priority = 0;
-    TimePoint objectiveAt; ///< Its objective, as a time.
-    Duration timeSpent{};  ///< By its caller on earlier tries, as far as can be told.
+    TimePoint objectiveAt; ///< Time by which its objective is met.
+    Duration timeSpent{};  ///< Estimated time that its caller spent on earlier attempts.
     std::unique_ptr<PieceGraph> pieces;
     std::uint32_t recomputations = 0;
-    TimePoint preparationDeadline;   ///< When it is given up if its pieces are not made.
-    bool isAdmittedLate = false;     ///< Was taken in although it will miss its objective.
-    Duration prepared{};             ///< From the arrival until all pieces were made.
-    Duration predicted{};            ///< From the arrival to the answer or its first event.
-    std::int64_t reservedTokens = 0; ///< That its endpoint has to read for it.
-    std::size_t tokensAhead = 0;     ///< That were to be read there before it.
-    bool headForwarded = false;      ///< The caller has got the beginning of a stream.
-    std::optional<std::uint64_t> lastEventId; ///< Passed on, or seen by the caller before.
-    std::uint32_t possibleRuns = 0;           ///< Sends that an endpoint may have begun to work on.
-    std::uint32_t deliveredSends = 0;         ///< Sends that reached an endpoint.
+    TimePoint preparationDeadline;   ///< Fails at this time if its pieces are not completed.
+    bool isAdmittedLate = false;     ///< Admitted although predicted to miss its objective.
+    Duration prepared{};             ///< From the arrival until all pieces were completed.
+    Duration predicted{};            ///< Predicted time to the answer or first event.
+    std::int64_t reservedTokens = 0; ///< Prompt tokens that its endpoint has to prefill.
+    std::size_t tokensAhead = 0;     ///< Prompt tokens queued there before it.
+    bool headForwarded = false;      ///< The head of the stream was sent to the caller.
+    /// ID of the last event that the caller has received.
+    std::optional<std::uint64_t> lastEventId;
+    std::uint32_t possibleRuns = 0;   ///< Sends that an endpoint may have started to run.
+    std::uint32_t deliveredSends = 0; ///< Sends that reached an endpoint.
 
     [[nodiscard]] const StageSpec &stageSpec() const { return pipeline.stages[stage]; }
     [[nodiscard]] CallId call() const { return {id, stage, attempt}; }
     [[nodiscard]] std::size_t bytes() const { return body.size() + previous.size(); }
 };
 
-/// What the machine keeps of a pool.
+/// The state of one pool.
 template <GuardPolicy G>
 struct BasicRequestMachine<G>::PoolState
 {
@@ -167,9 +171,10 @@
     PoolDemand demand;
     SlotShares shares;
     LatencyModel latency;
-    double tokensPerSecond = requestmachine::defaultPrefillRate; ///< That an engine reads.
+    /// Estimated prefill rate of an engine.
+    double tokensPerSecond = requestmachine::defaultPrefillRate;
     QueuePace pace;
-    TimePoint nextColdCheck; ///< When a status check may next be made.
+    TimePoint nextColdCheck; ///< Earliest time of the next cold check.
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -1,8 +1,8 @@
 //===- harelink/Kernel/requestproxiedimpl.h - Proxied requests --*- C++ -*-===//
 ///
 /// \file
-/// What is special to a request that is passed on unchanged: its route, the
-/// pieces that it needs first, the events of its answer, and its retries.
+/// The parts specific to proxied requests: routes, pieces computed beforehand, events of
+/// streamed answers, and retries.
 /// Included only by requestmachineimpl.h.
 ///
 //===----------------------------------------------------------------------===//
@@ -23,7 +23,7 @@
 
 namespace harelink {
 
-/// Finds the pipeline by the route and the account by its key.
+/// Determines the pipeline from the route and the account from the API key.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::resolveRoute(RequestArrived &event, const Snapshot &snapshot)
 {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Draws the pool by the weights of the route, and takes over its limits.
+/// Selects a pool at random by the weights of the route, and applies the limits of the route.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::applyRoute(Request &request, const Snapshot &snapshot)
 {
@@ -66,40 +66,40 @@
     request.deadline = std::min<TimePoint>(request.deadline, now + request.pipeline.deadline);
     request.objectiveAt =
         std::min<TimePoint>(request.deadline, now + route.objective - request.timeSpent);
-    Duration patience = request.deadline - now;
+    Duration clientTimeout = request.deadline - now;
     if (route.patience > Duration::zero()) {
-        patience = std::min<Duration>(patience, route.patience);
+        clientTimeout = std::min<Duration>(clientTimeout, route.patience);
     }
-    const auto preparing = std::min<std::chrono::duration<double>>(
-        patience * requestmachine::preparationTimeoutShare,
+    const auto preparationTime = std::min<std::chrono::duration<double>>(
+        clientTimeout * requestmachine::preparationTimeoutShare,
         route.objective * requestmachine::maxPreparationObjectives);
-    request.preparationDeadline = now + std::chrono::duration_cast<Duration>(preparing);
+    request.preparationDeadline = now + std::chrono::duration_cast<Duration>(preparationTime);
     request.streams = route.streams;
     request.lastEventId = request.proxied->lastEventSeen;
     const AccountEntry *account = snapshot.account(request.account);
-    const bool ofAccount = account != nullptr && account->spec.priority;
-    request.priority = ofAccount ? *account->spec.priority : route.priority;
+    const bool hasAccountPriority = account != nullptr && account->spec.priority;
+    request.priority = hasAccountPriority ? *account->spec.priority : route.priority;
     retryBudget(pool).recordRequest(now);
 }
 
 // Admission -------------------------------------------------------------------
 
-/// What the request's prompt asks of a model engine.
+/// Returns what routing and forecasts need to know of the request's prompt.
 template <GuardPolicy G>
 PromptInfo BasicRequestMachine<G>::promptInfo(const Request &request)
 {
-    PromptInfo need;
+    PromptInfo info;
     if (!request.proxied) {
-        return need;
+        return info;
     }
-    need.tokens = request.proxied->promptTokens;
-    need.cachedTokens = request.proxied->sharedTokens();
-    need.tokensPerSecond = poolState(request.stageSpec().pool).tokensPerSecond;
+    info.tokens = request.proxied->promptTokens;
+    info.cachedTokens = request.proxied->sharedTokens();
+    info.tokensPerSecond = poolState(request.stageSpec().pool).tokensPerSecond;
     if (request.pieces) {
-        std::tie(need.dataCentre, need.inputBytes) = request.pieces->mainResultDataCentre();
+        std::tie(info.dataCentre, info.inputBytes) = request.pieces->mainResultDataCentre();
     }
-    need.slack = request.objectiveAt - m_clock.now() - requestmachine::firstEventOverhead;
-    return need;
+    info.slack = request.objectiveAt - m_clock.now() - requestmachine::firstEventOverhead;
+    return info;
 }
 
 template <GuardPolicy G>
@@ -130,9 +130,9 @@
     }
 }
 
-/// The time that the pieces of each stage would take if they were ordered now. The queue
-/// of a later stage is taken to be then as long as it is now: what leaves it until then is
-/// replaced, as long as the load stays the same.
+/// Returns the predicted time of the pieces of each stage if they were ordered now. The queues
+/// of later stages are assumed to keep their current length: under constant load, completed
+/// pieces are replaced by new ones.
 template <GuardPolicy G>
 std::vector<Duration> BasicRequestMachine<G>::stageTimes(const Request &request,
                                                          const Snapshot &snapshot) const
@@ -159,7 +159,7 @@
     return times;
 }
 
-/// The time until the pieces of a new request would all be made.
+/// Returns the predicted time until all pieces of a new request are completed.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::forecastPieces(const Request &request,
                                                 const Snapshot &snapshot) const
@@ -179,7 +179,7 @@
     return last;
 }
 
-/// The time from the sending of the request itself to its answer or its first event.
+/// Returns the predicted time from the send of the request itself to its answer or first event.
 template <GuardPolicy G>
 Duration BasicRequestMachine<G>::forecastFirstEvent(const Request &request,
                                                     const Snapshot &snapshot)
@@ -192,7 +192,7 @@
         return poolState(pool->spec.name).latency.median(m_clock.now(), request.bytes());
     }
     const PromptInfo prompt = promptInfo(request);
-    const EndpointEntry *home = preferredEndpoint(request, *pool);
+    const EndpointEntry *preferred = preferredEndpoint(request, *pool);
     const TimePoint now = m_clock.now();
     const Duration never = Duration::max() / 4;
     Duration best = never;
@@ -205,8 +205,9 @@
         const bool isEndpointCold = isCold(endpoint, now);
         Duration &candidate = isEndpointCold ? bestCold : best;
         if (!isEndpointCold || maySendWhileCold(endpoint, now)) {
-            candidate = std::min(candidate, availableAt(endpoint, now) - now
-                                                + prefillTime(endpoint, prompt, &endpoint == home));
+            candidate =
+                std::min(candidate, availableAt(endpoint, now) - now
+                                        + prefillTime(endpoint, prompt, &endpoint == preferred));
         }
     }
     return (best < never ? best : bestCold) + requestmachine::firstEventOverhead;
@@ -222,9 +223,9 @@
     return std::chrono::duration_cast<Duration>((pieces + first) * factor);
 }
 
-/// Whether this daemon may take \p request in to be late: the stages that it needs have
-/// places to spare, and not too many are in already. Where its part of all daemons' is less
-/// than one, it takes one so much less often.
+/// Returns whether this daemon may admit \p request late: the stages that it needs have idle
+/// slots, and the limit of late requests is not reached. If this daemon's share of that limit
+/// is below one, it admits one with that probability.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::mayAdmitLate(const Request &request, const Snapshot &snapshot)
 {
@@ -243,8 +244,8 @@
     return m_lateAdmissions == 0 && m_random.unit() < part;
 }
 
-/// Whether the request is taken in: in time for its objective, or late in places that
-/// nobody else wants. The rest is refused before anything is spent on it.
+/// Returns whether the request is admitted: either in time for its objective, or late in
+/// otherwise idle slots. Other requests are refused before any work is spent on them.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::admit(Request &request, const Snapshot &snapshot)
 {
@@ -274,7 +275,7 @@
     return true;
 }
 
-/// Compares the forecast with what came of it.
+/// Updates the forecast bias and the prefill rate from a request that got its first event.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::recordForecastError(const Request &request)
 {
@@ -283,27 +284,27 @@
         return;
     }
     double &bias = m_forecastBias.try_emplace(request.pipeline.name, 1.0).first->second;
-    const double real = requestmachine::seconds(m_clock.now() - request.arrivedAt);
-    const double sample = bias * real / requestmachine::seconds(request.predicted);
+    const double actualSeconds = requestmachine::seconds(m_clock.now() - request.arrivedAt);
+    const double sample = bias * actualSeconds / requestmachine::seconds(request.predicted);
     bias += (sample - bias) * requestmachine::forecastSmoothing;
     bias = std::clamp(bias, requestmachine::minForecastBias, requestmachine::maxForecastBias);
 
-    const double reading = requestmachine::seconds(m_clock.now() - request.sentAt
-                                                   - requestmachine::firstEventOverhead);
+    const double prefillSeconds = requestmachine::seconds(m_clock.now() - request.sentAt
+                                                          - requestmachine::firstEventOverhead);
     const double tokens =
         static_cast<double>(request.reservedTokens) + static_cast<double>(request.tokensAhead);
     const bool isUsableSample =
         static_cast<std::uint64_t>(request.reservedTokens) >= requestmachine::minPrefillSampleTokens
-        && request.tokensAhead == 0 && reading > 0;
+        && request.tokensAhead == 0 && prefillSeconds > 0;
     if (isUsableSample) {
         double &rate = poolState(request.stageSpec().pool).tokensPerSecond;
-        rate += (tokens / reading - rate) * requestmachine::forecastSmoothing;
+        rate += (tokens / prefillSeconds - rate) * requestmachine::forecastSmoothing;
     }
 }
 
 // Pieces ----------------------------------------------------------------------
 
-/// Orders the first pieces; false where the request needs none.
+/// Orders the first pieces; returns false if the request needs none.
 template <GuardPolicy G>
 bool BasicRequestMachine<G>::beginPieces(Request &request, const Snapshot &snapshot)
 {
@@ -321,23 +322,24 @@
     return true;
 }
 
-/// The data centre where the results of pieces are needed: that of the prompt's home; of
-/// the results that are there; or, with neither, the own one.
+/// Returns the data centre that should hold the results of pieces: that of the preferred
+/// endpoint, else that of most results that exist already, else this daemon's own.
 template <GuardPolicy G>
 std::string BasicRequestMachine<G>::preferredResultDataCentre(const Request &request,
                                                               const Snapshot &snapshot) const
 {
     const PoolEntry *serving = snapshot.pool(request.stageSpec().pool);
-    const EndpointEntry *home = serving == nullptr ? nullptr : preferredEndpoint(request, *serving);
-    if (home != nullptr) {
-        return home->spec.dataCentre;
+    const EndpointEntry *preferred =
+        serving == nullptr ? nullptr : preferredEndpoint(request, *serving);
+    if (preferred != nullptr) {
+        return preferred->spec.dataCentre;
     }
     const std::string resultDataCentre =
         request.pieces ? request.pieces->mainResultDataCentre().first : "";
     return resultDataCentre.empty() ? snapshot.dataCentre : resultDataCentre;
 }
 
-/// Orders all pieces that can be made now.
+/// Orders all pieces that can be computed now.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::orderPieces(Request &request, const Snapshot &snapshot)
 {
@@ -373,7 +375,7 @@
     }
 }
 
-/// Where the endpoint called \p name stands; empty for one that is no longer declared.
+/// Returns the data centre of the endpoint \p name; empty if it is no longer declared.
 template <GuardPolicy G>
 std::string BasicRequestMachine<G>::dataCentreOf(const std::string &name, const Snapshot &snapshot)
 {
@@ -444,7 +446,7 @@
     dispatch(request->stageSpec().pool, snapshot);
 }
 
-/// Gives up what is ordered and frees what is made.
+/// Cancels the ordered pieces and releases their results.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::dropPieces(Request &request)
 {
@@ -458,7 +460,7 @@
     request.pieces.reset();
 }
 
-/// Frees what is made.
+/// Releases all results.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::releaseResults(Request &request)
 {
@@ -468,7 +470,7 @@
     }
 }
 
-/// The results that the request needs are gone or were freed: they are made again.
+/// Recomputes results that the request needs and that were lost or released.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handleLostResults(Request &request, const Snapshot &snapshot)
 {
@@ -483,7 +485,7 @@
     request.pieces->recomputeFinalResults();
     request.phase = Request::Phase::Preparing;
     if (request.headForwarded) {
-        // Its objective was met or missed with the first event; what is left is its end.
+        // The objective applied to the first event; only the deadline remains.
         request.preparationDeadline = request.deadline;
     }
     orderPieces(request, snapshot);
@@ -503,7 +505,7 @@
         rejectAnswer(*request, "the stream carries another request's identity", snapshot);
         return;
     }
-    // An event is passed on once, and none before those that stand in front of it.
+    // Each event is forwarded once and in order.
     if (G::matchesAttempts && event.eventId && request->lastEventId
         && *event.eventId != *request->lastEventId + 1) {
         rejectAnswer(*request, "the stream repeats or leaves out an event", snapshot);
@@ -526,10 +528,10 @@
     if (!request->headForwarded) {
         request->headForwarded = true;
         action.head = event.head;
-        // They were read before the first event. Kept for the case that the stream breaks
-        // and goes on elsewhere, results of 1.5 MB held all room of a stage for as long as
-        // answers lasted: freed here, requests served at four endpoints with room for 48
-        // rose by a fifth. A stream that does break has them made again.
+        // The engine has read the results before the first event. Keeping them until the end,
+        // in case the stream breaks, let results of 1.5 MB fill the result buffers of a stage;
+        // releasing them here raised the requests served at four endpoints with space for 48
+        // results by a fifth. A stream that breaks has its results recomputed.
         if (request->pieces) {
             releaseResults(*request);
         }
