--- a/unittests/Kernel/coldchecktest.cpp
+++ b/unittests/Kernel/coldchecktest.cpp
@@ -1,4 +1,4 @@
-//===- coldchecktest.cpp - Tests of daemons that ask whether endpoints are cold ===//
+//===- coldchecktest.cpp - Tests of status checks of cold endpoints -------===//
 
 #include "controlfixture.h"
 #include "proxiedfixture.h"
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// The configuration of proxied requests, whose endpoints bear \p rate requests while they are
-/// cold and can be asked.
+/// Returns the configuration of proxied requests with endpoints that accept \p rate requests per
+/// second while cold and have a status path.
 std::vector<Resource> checkedConfiguration(int engines, double rate,
                                            const std::string &statusPath = "/status")
 {
@@ -34,10 +34,10 @@
     return resources;
 }
 
-/// A daemon that does not receive changes of endpoints.
-struct CheckBench : ProxiedFixture
+/// A daemon that receives no updates of endpoints.
+struct CheckFixture : ProxiedFixture
 {
-    explicit CheckBench(const std::string &statusPath = "/status")
+    explicit CheckFixture(const std::string &statusPath = "/status")
     {
         snapshot = buildSnapshot(checkedConfiguration(3, 1, statusPath), 1, "dc1", nullptr);
         setReceivesUpdates(false);
@@ -53,25 +53,25 @@
     }
 };
 
-/// Many daemons without updates, one endpoint that has turned cold, and requests that come
-/// at \p perSecond, evenly, each to the next daemon; answers to checks take 2 ms.
-class BlindFleet
+/// Daemons without updates and one endpoint that becomes cold. Requests arrive evenly, round-robin
+/// over the daemons; status checks take 2 ms.
+class FleetWithoutUpdates
 {
 public:
-    BlindFleet(std::size_t hosts, double rate, bool asks)
+    FleetWithoutUpdates(std::size_t hosts, double rate, bool checks)
     {
         for (std::size_t i = 0; i < hosts; ++i) {
-            auto bench = std::make_unique<ProxiedFixture>();
-            bench->snapshot = buildSnapshot(checkedConfiguration(1, rate, asks ? "/status" : ""), 1,
-                                            "dc1", nullptr);
+            auto fixture = std::make_unique<ProxiedFixture>();
+            fixture->snapshot = buildSnapshot(
+                checkedConfiguration(1, rate, checks ? "/status" : ""), 1, "dc1", nullptr);
             const ColdShares shares(fmt::format("h{}", i), hosts);
-            recordEndpointUpdatesUntil(*bench->snapshot, TimePoint::min(), shares);
+            recordEndpointUpdatesUntil(*fixture->snapshot, TimePoint::min(), shares);
             m_shares.push_back(shares);
-            m_hosts.push_back(std::move(bench));
+            m_hosts.push_back(std::move(fixture));
         }
     }
-    /// Plays a second with the endpoint warm and two with it cold.
-    void play(double perSecond)
+    /// Simulates \p perSecond requests for one second with a warm endpoint and two with a cold one.
+    void run(double perSecond)
     {
         constexpr milliseconds warmTime{1000};
         constexpr milliseconds end{3000};
@@ -81,21 +81,21 @@
                 m_hosts[m_next++ % m_hosts.size()]->arrive("/read/1");
             }
             for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-                turn(i, now, now < warmTime ? milliseconds(0) : end - now);
+                step(i, now, now < warmTime ? milliseconds(0) : end - now);
             }
         }
     }
-    [[nodiscard]] std::size_t mostInASecond() const { return m_most; }
+    [[nodiscard]] std::size_t maxPerSecond() const { return m_maxPerSecond; }
     [[nodiscard]] std::size_t served() const { return m_served; }
 
 private:
-    void turn(std::size_t host, milliseconds now, milliseconds coldFor)
+    void step(std::size_t host, milliseconds now, milliseconds coldFor)
     {
-        ProxiedFixture &bench = *m_hosts[host];
-        bench.advance(milliseconds(1));
-        for (const SendStage &send : std::exchange(bench.sends, {})) {
+        ProxiedFixture &fixture = *m_hosts[host];
+        fixture.advance(milliseconds(1));
+        for (const SendStage &send : std::exchange(fixture.sends, {})) {
             ++m_served;
-            bench.answer(send);
+            fixture.answer(send);
             if (coldFor > milliseconds(0)) {
                 m_arrivals.push_back(now);
             }
@@ -103,10 +103,10 @@
         while (!m_arrivals.empty() && now - m_arrivals.front() >= seconds(1)) {
             m_arrivals.pop_front();
         }
-        m_most = std::max(m_most, m_arrivals.size());
-        for (const CheckColdState &check : std::exchange(bench.coldChecks, {})) {
+        m_maxPerSecond = std::max(m_maxPerSecond, m_arrivals.size());
+        for (const CheckColdState &check : std::exchange(fixture.coldChecks, {})) {
             m_checks[now + milliseconds(2)].push_back(
-                {host, {check.endpoint, bench.clock.now(), coldFor}});
+                {host, {check.endpoint, fixture.clock.now(), coldFor}});
         }
         answerChecks(now);
     }
@@ -114,8 +114,8 @@
     {
         while (!m_checks.empty() && m_checks.begin()->first <= now) {
             for (const auto &[host, state] : m_checks.begin()->second) {
-                ProxiedFixture &bench = *m_hosts[host];
-                recordColdState(*bench.snapshot, state, m_shares[host], bench.clock.now());
+                ProxiedFixture &fixture = *m_hosts[host];
+                recordColdState(*fixture.snapshot, state, m_shares[host], fixture.clock.now());
             }
             m_checks.erase(m_checks.begin());
         }
@@ -124,8 +124,8 @@
     std::vector<std::unique_ptr<ProxiedFixture>> m_hosts;
     std::vector<ColdShares> m_shares;
     std::map<milliseconds, std::vector<std::pair<std::size_t, ColdStateChecked>>> m_checks;
-    std::deque<milliseconds> m_arrivals; ///< At the cold endpoint, of a second.
-    std::size_t m_most = 0;
+    std::deque<milliseconds> m_arrivals; ///< At the cold endpoint in the last second.
+    std::size_t m_maxPerSecond = 0;
     std::size_t m_next = 0;
     std::size_t m_served = 0;
 };
@@ -134,85 +134,85 @@
 
 TEST_GROUP(ColdCheck){};
 
-TEST(ColdCheck, ADaemonThatReceivesUpdatesAsksNothing)
+TEST(ColdCheck, ADaemonThatReceivesUpdatesSendsNoChecks)
 {
-    CheckBench bench;
-    bench.setReceivesUpdates(true);
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.coldChecks.size());
-    LONGS_EQUAL(1, bench.sends.size());
+    CheckFixture fixture;
+    fixture.setReceivesUpdates(true);
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.coldChecks.size());
+    LONGS_EQUAL(1, fixture.sends.size());
 }
 
-TEST(ColdCheck, ARequestGoesWhereTheEndpointSaysThatItIsWarm)
+TEST(ColdCheck, ARequestIsSentOnceTheEndpointReportsThatItIsWarm)
 {
-    CheckBench bench;
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    LONGS_EQUAL(1, bench.coldChecks.size());
-    bench.answerCheck(bench.coldChecks.at(0), Duration::zero());
-    LONGS_EQUAL(1, bench.sends.size());
-    STRCMP_EQUAL(bench.coldChecks.at(0).endpoint.c_str(), bench.sends.at(0).endpoint.c_str());
+    CheckFixture fixture;
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    LONGS_EQUAL(1, fixture.coldChecks.size());
+    fixture.answerCheck(fixture.coldChecks.at(0), Duration::zero());
+    LONGS_EQUAL(1, fixture.sends.size());
+    STRCMP_EQUAL(fixture.coldChecks.at(0).endpoint.c_str(), fixture.sends.at(0).endpoint.c_str());
 }
 
-TEST(ColdCheck, AnAnswerHoldsForATenthOfASecond)
+TEST(ColdCheck, AReportIsValidFor100Milliseconds)
 {
-    CheckBench bench;
-    bench.arrive("/read/1");
-    bench.answerCheck(bench.coldChecks.at(0), Duration::zero());
-    bench.arrive("/read/1");
-    LONGS_EQUAL(1, bench.coldChecks.size());
-    LONGS_EQUAL(2, bench.sends.size());
-    bench.advance(milliseconds(100));
-    bench.arrive("/read/1");
-    LONGS_EQUAL(2, bench.coldChecks.size());
-    LONGS_EQUAL(2, bench.sends.size());
+    CheckFixture fixture;
+    fixture.arrive("/read/1");
+    fixture.answerCheck(fixture.coldChecks.at(0), Duration::zero());
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(1, fixture.coldChecks.size());
+    LONGS_EQUAL(2, fixture.sends.size());
+    fixture.advance(milliseconds(100));
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(2, fixture.coldChecks.size());
+    LONGS_EQUAL(2, fixture.sends.size());
 }
 
-TEST(ColdCheck, ARequestGoesElsewhereWhereTheEndpointIsCold)
+TEST(ColdCheck, ARequestGoesToAnotherEndpointIfTheFirstIsCold)
 {
-    CheckBench bench;
-    bench.arrive("/read/1");
-    bench.answerCheck(bench.coldChecks.at(0), seconds(2));
-    bench.advance(milliseconds(20));
-    LONGS_EQUAL(2, bench.coldChecks.size());
-    CHECK(bench.coldChecks.at(0).endpoint != bench.coldChecks.at(1).endpoint);
-    bench.answerCheck(bench.coldChecks.at(1), Duration::zero());
-    LONGS_EQUAL(1, bench.sends.size());
-    STRCMP_EQUAL(bench.coldChecks.at(1).endpoint.c_str(), bench.sends.at(0).endpoint.c_str());
+    CheckFixture fixture;
+    fixture.arrive("/read/1");
+    fixture.answerCheck(fixture.coldChecks.at(0), seconds(2));
+    fixture.advance(milliseconds(20));
+    LONGS_EQUAL(2, fixture.coldChecks.size());
+    CHECK(fixture.coldChecks.at(0).endpoint != fixture.coldChecks.at(1).endpoint);
+    fixture.answerCheck(fixture.coldChecks.at(1), Duration::zero());
+    LONGS_EQUAL(1, fixture.sends.size());
+    STRCMP_EQUAL(fixture.coldChecks.at(1).endpoint.c_str(), fixture.sends.at(0).endpoint.c_str());
 }
 
-TEST(ColdCheck, AnEndpointThatDoesNotAnswerIsLeftAlone)
+TEST(ColdCheck, AnEndpointThatDoesNotAnswerGetsNoRequests)
 {
-    CheckBench bench;
-    bench.arrive("/read/1");
-    bench.answerCheck(bench.coldChecks.at(0), std::nullopt);
-    bench.advance(milliseconds(20));
-    CHECK(bench.coldChecks.size() >= 2);
-    bench.answerCheck(bench.coldChecks.back(), Duration::zero());
-    LONGS_EQUAL(1, bench.sends.size());
-    CHECK(bench.coldChecks.front().endpoint != bench.sends.at(0).endpoint);
+    CheckFixture fixture;
+    fixture.arrive("/read/1");
+    fixture.answerCheck(fixture.coldChecks.at(0), std::nullopt);
+    fixture.advance(milliseconds(20));
+    CHECK(fixture.coldChecks.size() >= 2);
+    fixture.answerCheck(fixture.coldChecks.back(), Duration::zero());
+    LONGS_EQUAL(1, fixture.sends.size());
+    CHECK(fixture.coldChecks.front().endpoint != fixture.sends.at(0).endpoint);
 }
 
-TEST(ColdCheck, QuestionsAreFewHoweverManyRequestsWait)
+TEST(ColdCheck, TheNumberOfChecksDoesNotGrowWithTheWaitingRequests)
 {
-    CheckBench bench;
+    CheckFixture fixture;
     for (int i = 0; i < 30; ++i) {
-        bench.arrive("/read/1");
-        bench.advance(milliseconds(1));
+        fixture.arrive("/read/1");
+        fixture.advance(milliseconds(1));
     }
-    CHECK(bench.coldChecks.size() <= 2);
+    CHECK(fixture.coldChecks.size() <= 2);
 }
 
-TEST(ColdCheck, EndpointsThatCannotBeAskedAreSentToAsBefore)
+TEST(ColdCheck, EndpointsWithoutAStatusPathNeedNoCheck)
 {
-    CheckBench bench("");
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.coldChecks.size());
-    LONGS_EQUAL(1, bench.sends.size());
+    CheckFixture fixture("");
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.coldChecks.size());
+    LONGS_EQUAL(1, fixture.sends.size());
 }
 
-/// What a daemon was told before it stood still says nothing of what came after.
-TEST(ColdCheck, AfterAStandstillThePlatformHasToAnswerAnew)
+/// State that a daemon received before it was suspended may be out of date afterwards.
+TEST(ColdCheck, AfterASuspensionThePlatformHasToAnswerAgain)
 {
     ManualClock clock;
     ControlMachine control(clock, controlOptions());
@@ -230,7 +230,7 @@
     control.tick();
     const TimePoint until = control.endpointUpdatesUntil();
     CHECK(until > clock.now());
-    clock.advance(seconds(10)); // Whatever was due came late.
+    clock.advance(seconds(10)); // All timers fire late.
     CHECK(until < clock.now());
     control.tick();
     CHECK(control.endpointUpdatesUntil() < clock.now());
@@ -241,20 +241,20 @@
     CHECK(control.endpointUpdatesUntil() > clock.now());
 }
 
-/// Nobody is told that the endpoint has turned cold. What it gets is what comes while the last
-/// answers hold, and each daemon's part of what it bears.
-TEST(ColdCheck, ManyDaemonsWithoutUpdatesKeepTheBoundTogether)
+/// No daemon is notified that the endpoint has become cold. It gets the requests that arrive while
+/// the last reports are valid, plus each daemon's share of its cold rate.
+TEST(ColdCheck, ManyDaemonsWithoutUpdatesStayWithinTheRateTogether)
 {
     constexpr double rate = 9.1;
-    constexpr double mostInASecond = rate * 1.5 + 5;
+    constexpr double maxPerSecond = rate * 1.5 + 5;
     constexpr double load = 60;
     for (const std::size_t hosts : {9U, 100U, 400U}) {
-        BlindFleet fleet(hosts, rate, true);
-        fleet.play(load);
-        CHECK(static_cast<double>(fleet.mostInASecond()) <= mostInASecond);
+        FleetWithoutUpdates fleet(hosts, rate, true);
+        fleet.run(load);
+        CHECK(static_cast<double>(fleet.maxPerSecond()) <= maxPerSecond);
         CHECK(static_cast<double>(fleet.served()) >= load * 0.9);
     }
-    BlindFleet control(9, rate, false);
-    control.play(load);
-    CHECK(static_cast<double>(control.mostInASecond()) > mostInASecond);
+    FleetWithoutUpdates control(9, rate, false);
+    control.run(load);
+    CHECK(static_cast<double>(control.maxPerSecond()) > maxPerSecond);
 }
--- a/unittests/Kernel/coldstarttest.cpp
+++ b/unittests/Kernel/coldstarttest.cpp
@@ -1,4 +1,4 @@
-//===- coldstarttest.cpp - Tests of endpoints that are cold ---------------===//
+//===- coldstarttest.cpp - Tests of cold endpoints ------------------------===//
 
 #include "proxiedfixture.h"
 
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr double rate = 9.1;
-/// What all daemons together may send to a cold endpoint in a second.
-constexpr double mostInASecond = rate * 1.5 + 5;
+/// Maximum number of requests that all daemons together may send to a cold endpoint in a second.
+constexpr double maxPerSecond = rate * 1.5 + 5;
 
-/// The configuration of proxied requests, whose endpoints in \p cold say that they are cold for
+/// Returns the configuration of proxied requests with the endpoints in \p cold declared cold for
 /// two seconds.
 std::vector<Resource> coldConfiguration(int engines, const std::vector<std::string> &cold,
                                         const std::vector<std::string> &drained = {})
@@ -54,10 +54,10 @@
     return std::get<EndpointSpec>(resources.front().spec);
 }
 
-struct ColdBench : ProxiedFixture
+struct ColdFixture : ProxiedFixture
 {
-    ColdBench() { take(coldConfiguration(3, {}), {}); }
-    void take(const std::vector<Resource> &resources, const ColdShares &shares)
+    ColdFixture() { apply(coldConfiguration(3, {}), {}); }
+    void apply(const std::vector<Resource> &resources, const ColdShares &shares)
     {
         std::unique_ptr<const Snapshot> next = buildSnapshot(resources, 2, "dc1", snapshot.get());
         recordColdStarts(*next, *snapshot, clock.now(), shares);
@@ -75,54 +75,54 @@
 
 TEST_GROUP(ColdStart){};
 
-TEST(ColdStart, NothingIsSentToOneThatIsColdWhileOthersServe)
+TEST(ColdStart, AColdEndpointGetsNoRequestsWhileOthersServe)
 {
-    ColdBench bench;
-    bench.take(coldConfiguration(3, {"engine-0", "engine-2"}), {"h1", 1});
+    ColdFixture fixture;
+    fixture.apply(coldConfiguration(3, {"engine-0", "engine-2"}), {"h1", 1});
     for (int i = 0; i < 8; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(8, bench.sends.size());
-    for (const SendStage &send : bench.sends) {
+    LONGS_EQUAL(8, fixture.sends.size());
+    for (const SendStage &send : fixture.sends) {
         STRCMP_EQUAL("engine-1", send.endpoint.c_str());
     }
 }
 
-TEST(ColdStart, ItIsUsedAgainWhenItsTimeIsOver)
+TEST(ColdStart, AnEndpointIsUsedAgainAfterItsColdTime)
 {
-    ColdBench bench;
-    bench.take(coldConfiguration(3, {"engine-0"}), {});
-    CHECK(bench.isColdNow("engine-0"));
-    // The same words again are no news: they are as old as they were.
-    bench.advance(milliseconds(1500));
-    bench.take(coldConfiguration(3, {"engine-0"}), {});
-    bench.advance(milliseconds(600));
-    CHECK(!bench.isColdNow("engine-0"));
+    ColdFixture fixture;
+    fixture.apply(coldConfiguration(3, {"engine-0"}), {});
+    CHECK(fixture.isColdNow("engine-0"));
+    // A repeated declaration does not restart the cold time.
+    fixture.advance(milliseconds(1500));
+    fixture.apply(coldConfiguration(3, {"engine-0"}), {});
+    fixture.advance(milliseconds(600));
+    CHECK(!fixture.isColdNow("engine-0"));
 }
 
-TEST(ColdStart, ItMayTurnColdAgainAndSayThatItIsWarm)
+TEST(ColdStart, AnEndpointMayBecomeColdAgainAndThenWarm)
 {
-    ColdBench bench;
-    CHECK(!bench.isColdNow("engine-0"));
-    bench.take(coldConfiguration(3, {"engine-0"}), {});
-    CHECK(bench.isColdNow("engine-0"));
-    bench.take(coldConfiguration(3, {}), {});
-    CHECK(!bench.isColdNow("engine-0"));
+    ColdFixture fixture;
+    CHECK(!fixture.isColdNow("engine-0"));
+    fixture.apply(coldConfiguration(3, {"engine-0"}), {});
+    CHECK(fixture.isColdNow("engine-0"));
+    fixture.apply(coldConfiguration(3, {}), {});
+    CHECK(!fixture.isColdNow("engine-0"));
 }
 
-TEST(ColdStart, ANewEndpointThatSaysNothingIsCold)
+TEST(ColdStart, ANewEndpointWithoutADeclaredStateIsCold)
 {
-    ColdBench bench;
+    ColdFixture fixture;
     std::vector<Resource> resources = coldConfiguration(4, {});
     endpointIn(resources, "engine-3").coldFor.reset();
-    bench.take(resources, {});
-    CHECK(bench.isColdNow("engine-3"));
-    bench.advance(milliseconds(3001));
-    CHECK(!bench.isColdNow("engine-3"));
+    fixture.apply(resources, {});
+    CHECK(fixture.isColdNow("engine-3"));
+    fixture.advance(milliseconds(3001));
+    CHECK(!fixture.isColdNow("engine-3"));
 }
 
-/// What stands there when a daemon starts has likely been there for long.
-TEST(ColdStart, ADaemonThatStartsTakesThoseThatSayNothingForWarm)
+/// Endpoints that exist when a daemon starts have probably been running for a long time.
+TEST(ColdStart, AStartingDaemonAssumesEndpointsWithoutADeclaredStateToBeWarm)
 {
     std::vector<Resource> resources = coldConfiguration(3, {"engine-1"});
     endpointIn(resources, "engine-0").coldFor.reset();
@@ -133,48 +133,48 @@
     CHECK(isCold(*snapshot->endpoint("engine-1"), TimePoint(seconds(9))));
 }
 
-TEST(ColdStart, EndpointsOfADataCentreThatIsTakenBackAreCold)
+TEST(ColdStart, EndpointsAreColdAfterTheDrainOfTheirDataCentreEnds)
 {
-    ColdBench bench;
-    bench.take(coldConfiguration(3, {}, {"dc2"}), {});
-    bench.take(coldConfiguration(3, {}), {});
-    CHECK(bench.isColdNow("engine-1"));
-    CHECK(!bench.isColdNow("engine-0"));
-    bench.advance(milliseconds(3001));
-    CHECK(!bench.isColdNow("engine-1"));
+    ColdFixture fixture;
+    fixture.apply(coldConfiguration(3, {}, {"dc2"}), {});
+    fixture.apply(coldConfiguration(3, {}), {});
+    CHECK(fixture.isColdNow("engine-1"));
+    CHECK(!fixture.isColdNow("engine-0"));
+    fixture.advance(milliseconds(3001));
+    CHECK(!fixture.isColdNow("engine-1"));
 }
 
-TEST(ColdStart, WhereAllAreColdEachGetsOneRequestASecondFromThoseThatMaySend)
+TEST(ColdStart, IfAllAreColdSelectedDaemonsSendEachOneRequestPerSecond)
 {
-    ColdBench bench;
-    bench.take(coldConfiguration(3, allEngines), {"h1", 4}); // Of four hosts each may.
+    ColdFixture fixture;
+    fixture.apply(coldConfiguration(3, allEngines), {"h1", 4}); // With four hosts, each may send.
     for (int i = 0; i < 10; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(3, bench.sends.size());
-    for (const SendStage &send : bench.sends) {
-        bench.answer(send);
+    LONGS_EQUAL(3, fixture.sends.size());
+    for (const SendStage &send : fixture.sends) {
+        fixture.answer(send);
     }
-    LONGS_EQUAL(3, bench.sends.size());
-    bench.advance(milliseconds(1100));
-    bench.arrive("/read/1");
-    CHECK(bench.sends.size() >= 4);
+    LONGS_EQUAL(3, fixture.sends.size());
+    fixture.advance(milliseconds(1100));
+    fixture.arrive("/read/1");
+    CHECK(fixture.sends.size() >= 4);
 }
 
-/// Callers never wait for an endpoint that cannot serve them in time.
-TEST(ColdStart, WhereNoneMayBeSentToARequestIsRefusedAtOnce)
+/// Callers do not wait for an endpoint that cannot serve them in time.
+TEST(ColdStart, ARequestIsRefusedAtOnceIfNoEndpointMayBeSentTo)
 {
-    ColdBench bench;
-    bench.take(coldConfiguration(3, allEngines), {});
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    LONGS_EQUAL(1, bench.answers.size());
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
+    ColdFixture fixture;
+    fixture.apply(coldConfiguration(3, allEngines), {});
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    LONGS_EQUAL(1, fixture.answers.size());
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
 }
 
-/// All daemons together stay within the bound, whatever each knows of the others: also where
-/// three data centres are cut from each other, since those behind a cut are counted on.
-TEST(ColdStart, AllDaemonsTogetherSendNoMoreThanOneBears)
+/// The bound holds for all daemons together, regardless of which hosts know each other. It holds
+/// under a network partition between three data centres too, since hosts behind it still count.
+TEST(ColdStart, AllDaemonsTogetherStayWithinTheRateOfAnEndpoint)
 {
     constexpr int endpoints = 600;
     for (const std::size_t hosts : {3U, 9U, 89U, 300U, 400U}) {
@@ -184,21 +184,21 @@
             for (std::size_t host = 0; host < hosts; ++host) {
                 const ColdShares shares(fmt::format("h{}", host), hosts);
                 const auto interval = shares.intervalAt(fmt::format("e{}", i), rate);
-                // Sends that leave an interval apart: so many may fall into one second.
+                // The maximum number of sends at this interval that fall into one second.
                 perSecond +=
                     interval ? std::ceil(std::chrono::duration<double>(seconds(1)) / *interval) : 0;
             }
-            CHECK(perSecond <= mostInASecond);
+            CHECK(perSecond <= maxPerSecond);
             sum += perSecond;
         }
-        // It is used, too: about half of what it bears.
+        // About half of the rate is used.
         CHECK(sum / endpoints > rate / 4);
-        // The control: each daemon for itself, as if it were alone.
-        CHECK(hosts < 4 || static_cast<double>(hosts) * rate / 2 > mostInASecond);
+        // Control: each daemon sends as if it were the only one.
+        CHECK(hosts < 4 || static_cast<double>(hosts) * rate / 2 > maxPerSecond);
     }
 }
 
-TEST(ColdStart, AnEndpointThatBearsNothingGetsNothing)
+TEST(ColdStart, AnEndpointWithNoRateGetsNoRequests)
 {
     const ColdShares shares("h1", 3);
     CHECK(!shares.intervalAt("e1", 0));
--- a/unittests/Kernel/endpointlimitstest.cpp
+++ b/unittests/Kernel/endpointlimitstest.cpp
@@ -1,4 +1,4 @@
-//===- endpointlimitstest.cpp - Tests of stated rate limits ---------------===//
+//===- endpointlimitstest.cpp - Tests of announced rate limits ------------===//
 
 #include "harelink/Kernel/endpointlimits.h"
 
@@ -15,7 +15,7 @@
 
 TEST_GROUP(EndpointLimits){};
 
-TEST(EndpointLimits, TheLaterStatementHoldsInWhateverOrderTheyCome)
+TEST(EndpointLimits, TheLatestAnnouncementWinsRegardlessOfArrivalOrder)
 {
     EndpointLimits limits;
     CHECK(limits.record("e1", {2.0, start + seconds(2)}, start));
@@ -27,7 +27,7 @@
     CHECK(limits.inForce().empty());
 }
 
-TEST(EndpointLimits, AnEndpointThatNeverStatedOneIsNotKept)
+TEST(EndpointLimits, EndpointsWithoutAnAnnouncedLimitAreNotStored)
 {
     EndpointLimits limits;
     CHECK(!limits.record("e1", {std::nullopt, start}, start));
--- a/unittests/Kernel/endpointpausetest.cpp
+++ b/unittests/Kernel/endpointpausetest.cpp
@@ -1,4 +1,4 @@
-//===- endpointpausetest.cpp - Tests of pauses that endpoints ask for -----===//
+//===- endpointpausetest.cpp - Tests of pauses requested by endpoints -----===//
 
 #include "proxiedfixture.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-struct PauseBench : ProxiedFixture
+struct PauseFixture : ProxiedFixture
 {
-    /// The endpoint of \p stage does not run it, and says so with \p notice.
+    /// The endpoint of \p stage refuses to run it and sends \p notice.
     void refuse(const SendStage &stage, const EndpointNotice &notice)
     {
         StageFailed event;
@@ -37,7 +37,7 @@
     }
 };
 
-EndpointNotice pauseOf(Duration pause)
+EndpointNotice pauseNotice(Duration pause)
 {
     EndpointNotice notice;
     notice.pause = pause;
@@ -48,92 +48,92 @@
 
 TEST_GROUP(EndpointPause){};
 
-TEST(EndpointPause, AnEndpointThatAskedForAPauseGetsNothingUntilItsEnd)
+TEST(EndpointPause, AnEndpointGetsNoRequestsDuringItsPause)
 {
-    PauseBench bench;
-    bench.arrive("/read/1");
-    const std::string endpoint = bench.sends.at(0).endpoint;
-    bench.refuse(bench.sends.at(0), pauseOf(seconds(3)));
+    PauseFixture fixture;
+    fixture.arrive("/read/1");
+    const std::string endpoint = fixture.sends.at(0).endpoint;
+    fixture.refuse(fixture.sends.at(0), pauseNotice(seconds(3)));
     for (int i = 0; i < 29; ++i) {
-        bench.arrive("/read/1");
-        bench.answer(bench.sends.back());
-        bench.advance(milliseconds(100));
+        fixture.arrive("/read/1");
+        fixture.answer(fixture.sends.back());
+        fixture.advance(milliseconds(100));
     }
-    LONGS_EQUAL(1, bench.sendsTo(endpoint));
+    LONGS_EQUAL(1, fixture.sendsTo(endpoint));
     for (int i = 0; i < 20; ++i) {
-        bench.arrive("/read/1");
-        bench.advance(milliseconds(100));
+        fixture.arrive("/read/1");
+        fixture.advance(milliseconds(100));
     }
-    CHECK(bench.sendsTo(endpoint) > 1);
+    CHECK(fixture.sendsTo(endpoint) > 1);
 }
 
-TEST(EndpointPause, AnAnswerToAnotherCallDoesNotEndAPause)
+TEST(EndpointPause, AnAnswerToAnotherCallDoesNotEndThePause)
 {
-    PauseBench bench;
+    PauseFixture fixture;
     for (int i = 0; i < 9; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    const std::string endpoint = bench.sends.at(0).endpoint;
-    std::vector<SendStage> there;
-    for (const SendStage &send : bench.sends) {
+    const std::string endpoint = fixture.sends.at(0).endpoint;
+    std::vector<SendStage> sentThere;
+    for (const SendStage &send : fixture.sends) {
         if (send.endpoint == endpoint) {
-            there.push_back(send);
+            sentThere.push_back(send);
         }
     }
-    CHECK(there.size() >= 2);
-    bench.refuse(there[0], pauseOf(seconds(3)));
-    bench.answer(there[1]);
-    const std::size_t before = bench.sendsTo(endpoint);
+    CHECK(sentThere.size() >= 2);
+    fixture.refuse(sentThere[0], pauseNotice(seconds(3)));
+    fixture.answer(sentThere[1]);
+    const std::size_t before = fixture.sendsTo(endpoint);
     for (int i = 0; i < 8; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(before, bench.sendsTo(endpoint));
+    LONGS_EQUAL(before, fixture.sendsTo(endpoint));
 }
 
-TEST(EndpointPause, WhereAllEndpointsAskedForAPauseRequestsAreRefusedAtOnce)
+TEST(EndpointPause, RequestsAreRefusedAtOnceIfAllEndpointsArePaused)
 {
-    PauseBench bench;
+    PauseFixture fixture;
     for (const char *name : {"engine-0", "engine-1", "engine-2"}) {
-        recordPause(*bench.snapshot->endpoint(name), seconds(30), bench.clock.now());
+        recordPause(*fixture.snapshot->endpoint(name), seconds(30), fixture.clock.now());
     }
-    bench.arrive("/read/1");
-    LONGS_EQUAL(0, bench.sends.size());
-    LONGS_EQUAL(1, bench.answers.size());
-    CHECK(bench.answers.at(0).outcome == Outcome::NotRun);
-    CHECK(bench.answers.at(0).retryAfter <= seconds(1));
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(0, fixture.sends.size());
+    LONGS_EQUAL(1, fixture.answers.size());
+    CHECK(fixture.answers.at(0).outcome == Outcome::NotRun);
+    CHECK(fixture.answers.at(0).retryAfter <= seconds(1));
 }
 
-TEST(EndpointPause, AShorterPauseDoesNotEndALongerOne)
+TEST(EndpointPause, AShorterPauseDoesNotReplaceALongerOne)
 {
-    PauseBench bench;
-    const EndpointEntry &entry = *bench.snapshot->endpoint("engine-0");
-    recordPause(entry, seconds(3), bench.clock.now());
-    recordPause(entry, seconds(1), bench.clock.now());
-    CHECK(availableAt(entry, bench.clock.now()) == bench.clock.now() + seconds(3));
-    CHECK(!claimSendSlot(entry, bench.clock.now()));
+    PauseFixture fixture;
+    const EndpointEntry &entry = *fixture.snapshot->endpoint("engine-0");
+    recordPause(entry, seconds(3), fixture.clock.now());
+    recordPause(entry, seconds(1), fixture.clock.now());
+    CHECK(availableAt(entry, fixture.clock.now()) == fixture.clock.now() + seconds(3));
+    CHECK(!claimSendSlot(entry, fixture.clock.now()));
 }
 
-TEST(EndpointPause, AnEndpointThatAnnouncesItsDepartureGetsNothingNew)
+TEST(EndpointPause, AnEndpointThatAnnouncesItsDepartureGetsNoNewRequests)
 {
-    PauseBench bench;
-    bench.arrive("/read/1");
-    const std::string endpoint = bench.sends.at(0).endpoint;
+    PauseFixture fixture;
+    fixture.arrive("/read/1");
+    const std::string endpoint = fixture.sends.at(0).endpoint;
     EndpointNotice notice;
     notice.isLeaving = true;
-    bench.refuse(bench.sends.at(0), notice);
+    fixture.refuse(fixture.sends.at(0), notice);
     for (int i = 0; i < 8; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(1, bench.sendsTo(endpoint));
+    LONGS_EQUAL(1, fixture.sendsTo(endpoint));
 }
 
-TEST(EndpointPause, NoCallOfPiecesGoesToAnEndpointThatAskedForAPause)
+TEST(EndpointPause, NoPieceCallGoesToAPausedEndpoint)
 {
-    PauseBench bench;
-    PieceBatcher batcher(bench.clock);
-    const PoolEntry &pool = *bench.snapshot->pool("pieces");
+    PauseFixture fixture;
+    PieceBatcher batcher(fixture.clock);
+    const PoolEntry &pool = *fixture.snapshot->pool("pieces");
     for (const EndpointEntry &entry : pool.endpoints) {
-        recordPause(entry, seconds(3), bench.clock.now());
+        recordPause(entry, seconds(3), fixture.clock.now());
     }
     const auto order = [](std::uint64_t sequence, Duration untilDeadline) {
         PieceOrder order;
@@ -142,13 +142,13 @@
         order.untilDeadline = untilDeadline;
         return PieceOrders{"pieces", {order}};
     };
-    batcher.handle("", order(1, seconds(2)), *bench.snapshot);
-    const std::vector<OutgoingPieceOutcomes> outcomes = batcher.drainOutcomes(*bench.snapshot);
-    LONGS_EQUAL(1, outcomes.size()); // It would be late, and is told so at once.
+    batcher.handle("", order(1, seconds(2)), *fixture.snapshot);
+    const std::vector<OutgoingPieceOutcomes> outcomes = batcher.drainOutcomes(*fixture.snapshot);
+    LONGS_EQUAL(1, outcomes.size()); // It would miss its deadline, which is reported at once.
     CHECK(outcomes[0].outcomes.outcomes.at(0).fault == PieceFault::Late);
-    batcher.handle("", order(2, seconds(10)), *bench.snapshot);
+    batcher.handle("", order(2, seconds(10)), *fixture.snapshot);
     LONGS_EQUAL(0, batcher.drainCalls().size());
-    bench.clock.advance(milliseconds(3001));
-    batcher.tick(*bench.snapshot);
+    fixture.clock.advance(milliseconds(3001));
+    batcher.tick(*fixture.snapshot);
     LONGS_EQUAL(1, batcher.drainCalls().size());
 }
--- a/unittests/Kernel/latencytest.cpp
+++ b/unittests/Kernel/latencytest.cpp
@@ -1,4 +1,4 @@
-//===- latencytest.cpp - Tests of predicted times -------------------------===//
+//===- latencytest.cpp - Tests of latency prediction ----------------------===//
 
 #include "harelink/Kernel/latency.h"
 
@@ -14,7 +14,7 @@
     LatencyModel model;
 };
 
-TEST(Latency, FollowsATenfoldSlowdown)
+TEST(Latency, TracksATenfoldSlowdown)
 {
     for (int i = 0; i < 50; ++i) {
         model.add(clock.now(), 0, milliseconds(10));
@@ -25,15 +25,15 @@
     DOUBLES_EQUAL(100, toMilliseconds(model.median(clock.now(), 0)), 20);
 }
 
-TEST(Latency, GrowsWithTheSizeOfTheRequest)
+TEST(Latency, IncreasesWithTheRequestSize)
 {
     model.add(clock.now(), 0, milliseconds(10));
     CHECK(model.median(clock.now(), 1'000'000) > model.median(clock.now(), 0) * 10);
 }
 
-// A pool taken to be too slow is sent nothing, so the estimate must fade by
-// itself, or every request would be refused for ever.
-TEST(Latency, FadesWithoutSamples)
+// A pool that is assumed to be too slow gets no calls: if the estimate did not decay
+// without samples, every request would be refused forever.
+TEST(Latency, DecaysWithoutSamples)
 {
     model.add(clock.now(), 0, seconds(2));
     clock.advance(seconds(1));
--- a/unittests/Kernel/queuepacetest.cpp
+++ b/unittests/Kernel/queuepacetest.cpp
@@ -1,4 +1,4 @@
-//===- queuepacetest.cpp - Tests of how fast a queue is expected to move --===//
+//===- queuepacetest.cpp - Tests of the dispatch rate of a queue ----------===//
 
 #include "kernelfixture.h"
 
@@ -22,15 +22,16 @@
 constexpr milliseconds callTime{5};
 constexpr std::size_t burstSize = 40;
 
-/// Records, whose calls take callTime; their requests have a second.
-struct PaceBench : MachineFixture<AllGuards>
+/// Serves requests of pipeline "record"; their calls take callTime and their deadline is one
+/// second.
+struct PaceFixture : MachineFixture<AllGuards>
 {
-    explicit PaceBench(int endpoints = 2, int slots = 4)
+    explicit PaceFixture(int endpoints = 2, int slots = 4)
         : MachineFixture(endpoints, slots)
     {
         serve();
     }
-    /// The whole pool of records.
+    /// Returns the pool of the pipeline.
     [[nodiscard]] const PoolEntry &records() const { return *snapshot->pool("records"); }
     RequestId arriveRecord()
     {
@@ -44,26 +45,26 @@
             decide(claims[granted].claimant, ClaimVerdict::Granted);
         }
     }
-    /// Answers all calls, one after the other, and those that they make room for.
-    void serve(milliseconds each = callTime)
+    /// Answers all calls one after the other, including those sent to the slots that become free.
+    void serve(milliseconds duration = callTime)
     {
         for (; served < sends.size(); ++served) {
-            advance(each);
+            advance(duration);
             answer(sends[served].call);
         }
     }
-    /// All connections are refused for \p time.
-    void refuseConnections(milliseconds time)
+    /// Refuses all connections for \p period.
+    void refuseConnections(milliseconds period)
     {
-        for (milliseconds passed{}; passed < time; passed += milliseconds(10)) {
+        for (milliseconds elapsed{}; elapsed < period; elapsed += milliseconds(10)) {
             while (served < sends.size()) {
                 failCall(sends[served++].call, SendEvidence::NothingSent);
             }
             advance(milliseconds(10));
         }
     }
-    /// How many of a burst of requests that come at once are refused before they are claimed.
-    std::size_t refusedOfBurst()
+    /// Returns how many requests of a simultaneous burst are refused before they are claimed.
+    std::size_t countRefusedOfBurst()
     {
         const std::size_t before = answers.size();
         for (std::size_t i = 0; i < burstSize; ++i) {
@@ -85,7 +86,7 @@
     QueuePace pace;
 };
 
-TEST(QueuePace, FollowsTheTimeBetweenDispatches)
+TEST(QueuePace, TracksTheIntervalBetweenDispatches)
 {
     pace.recordWaiting(clock.now());
     for (int i = 0; i < 30; ++i) {
@@ -95,7 +96,7 @@
     DOUBLES_EQUAL(50, toMilliseconds(pace.interval(clock.now(), false)), 1);
 }
 
-TEST(QueuePace, LeavesOutTheTimeInWhichNoEndpointIsOpen)
+TEST(QueuePace, IgnoresPeriodsWithoutAnAvailableEndpoint)
 {
     pace.recordWaiting(clock.now());
     clock.advance(seconds(3));
@@ -105,7 +106,7 @@
     CHECK(pace.interval(clock.now(), false) == Duration::zero());
 }
 
-TEST(QueuePace, CountsTheWaitForRoomOnceAnEndpointIsOpenAgain)
+TEST(QueuePace, CountsTheWaitForAFreeSlotOnceAnEndpointIsAvailable)
 {
     pace.recordWaiting(clock.now());
     pace.recordUnavailable();
@@ -116,7 +117,7 @@
     CHECK(pace.interval(clock.now(), false) == milliseconds(10));
 }
 
-TEST(QueuePace, WhileRequestsWaitItIsNoFasterThanTheQueueStands)
+TEST(QueuePace, WhileRequestsWaitTheIntervalIsAtLeastTheTimeSinceTheLastDispatch)
 {
     pace.recordWaiting(clock.now());
     clock.advance(milliseconds(300));
@@ -125,7 +126,7 @@
     CHECK(pace.interval(clock.now(), false) == Duration::zero());
 }
 
-TEST(QueuePace, APoolThatStaysUnreachableStandsStillUntilNobodyTriesAnyMore)
+TEST(QueuePace, AnUnreachablePoolIsStalledUntilAttemptsCease)
 {
     pace.recordWaiting(clock.now());
     for (int i = 0; i < 60; ++i) {
@@ -137,90 +138,90 @@
     clock.advance(seconds(1));
     CHECK(!pace.unreachableFor(clock.now()));
     CHECK(pace.interval(clock.now(), false) == Duration::zero());
-    // A later outage is one of its own.
+    // A later outage is counted separately.
     pace.recordUnreachable(clock.now());
     CHECK(pace.unreachableFor(clock.now()) == Duration::zero());
 }
 
 TEST_GROUP(QueueAfterOutage){};
 
-TEST(QueueAfterOutage, ABurstIsTakenInAfterAllEndpointsWereUnreachable)
+TEST(QueueAfterOutage, ABurstIsAdmittedAfterAllEndpointsWereUnreachable)
 {
-    PaceBench bench;
+    PaceFixture fixture;
     for (int i = 0; i < 3; ++i) {
-        bench.arriveRecord();
+        fixture.arriveRecord();
     }
-    bench.refuseConnections(outage);
-    bench.serve();
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    fixture.refuseConnections(outage);
+    fixture.serve();
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
 
-TEST(QueueAfterOutage, ABurstIsTakenInAfterALongOutageThatNobodySawEnd)
+TEST(QueueAfterOutage, ABurstIsAdmittedAfterALongOutageWithoutAttempts)
 {
-    PaceBench bench;
+    PaceFixture fixture;
     for (int i = 0; i < 70; ++i) {
-        bench.arriveRecord();
-        bench.refuseConnections(milliseconds(100));
+        fixture.arriveRecord();
+        fixture.refuseConnections(milliseconds(100));
     }
-    bench.refuseConnections(milliseconds(3000));
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    fixture.refuseConnections(milliseconds(3000));
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
 
-TEST(QueueAfterOutage, ABurstIsTakenInAfterAllEndpointsHadAskedForAPause)
+TEST(QueueAfterOutage, ABurstIsAdmittedAfterAllEndpointsWerePaused)
 {
-    PaceBench bench;
-    for (const EndpointEntry &endpoint : bench.records().endpoints) {
-        recordPause(endpoint, outage, bench.clock.now());
+    PaceFixture fixture;
+    for (const EndpointEntry &endpoint : fixture.records().endpoints) {
+        recordPause(endpoint, outage, fixture.clock.now());
     }
-    bench.arriveRecord();
-    bench.advance(outage);
-    bench.serve();
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    fixture.arriveRecord();
+    fixture.advance(outage);
+    fixture.serve();
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
 
-TEST(QueueAfterOutage, ABurstIsTakenInAfterAllEndpointsWereCold)
+TEST(QueueAfterOutage, ABurstIsAdmittedAfterAllEndpointsWereCold)
 {
-    PaceBench bench;
-    for (const EndpointEntry &endpoint : bench.records().endpoints) {
-        endpoint.load->coldUntil.store(steadyNanos(bench.clock.now() + outage));
+    PaceFixture fixture;
+    for (const EndpointEntry &endpoint : fixture.records().endpoints) {
+        endpoint.load->coldUntil.store(steadyNanos(fixture.clock.now() + outage));
     }
-    bench.arriveRecord();
-    for (milliseconds passed{}; passed < outage; passed += milliseconds(5)) {
-        bench.advance(milliseconds(5));
+    fixture.arriveRecord();
+    for (milliseconds elapsed{}; elapsed < outage; elapsed += milliseconds(5)) {
+        fixture.advance(milliseconds(5));
     }
-    bench.serve();
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    fixture.serve();
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
 
-TEST(QueueAfterOutage, ABurstIsTakenInAfterThisProcessStoodStill)
+TEST(QueueAfterOutage, ABurstIsAdmittedAfterTheProcessWasSuspended)
 {
-    PaceBench bench(1, 1);
-    bench.arriveRecord();
-    bench.arriveRecord();
-    bench.clock.advance(outage);
-    bench.answer(bench.sends.back().call);
-    ++bench.served;
-    bench.serve();
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    PaceFixture fixture(1, 1);
+    fixture.arriveRecord();
+    fixture.arriveRecord();
+    fixture.clock.advance(outage);
+    fixture.answer(fixture.sends.back().call);
+    ++fixture.served;
+    fixture.serve();
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
 
-TEST(QueueAfterOutage, AQueueThatMovesSlowlyIsStillExpectedTo)
+TEST(QueueAfterOutage, ABurstIsRefusedWhileTheQueueMovesSlowly)
 {
-    PaceBench bench(1, 1);
+    PaceFixture fixture(1, 1);
     for (int i = 0; i < 9; ++i) {
-        bench.arriveRecord();
+        fixture.arriveRecord();
     }
-    bench.serve(milliseconds(80));
-    CHECK(bench.refusedOfBurst() >= burstSize / 2);
+    fixture.serve(milliseconds(80));
+    CHECK(fixture.countRefusedOfBurst() >= burstSize / 2);
 }
 
-TEST(QueueAfterOutage, SlownessOfLongAgoIsForgotten)
+TEST(QueueAfterOutage, PastSlownessExpires)
 {
-    PaceBench bench(1, 1);
+    PaceFixture fixture(1, 1);
     for (int i = 0; i < 9; ++i) {
-        bench.arriveRecord();
+        fixture.arriveRecord();
     }
-    bench.serve(milliseconds(80));
-    bench.advance(seconds(10));
-    LONGS_EQUAL(0, bench.refusedOfBurst());
+    fixture.serve(milliseconds(80));
+    fixture.advance(seconds(10));
+    LONGS_EQUAL(0, fixture.countRefusedOfBurst());
 }
--- a/unittests/Kernel/ratesharestest.cpp
+++ b/unittests/Kernel/ratesharestest.cpp
@@ -1,4 +1,4 @@
-//===- ratesharestest.cpp - Tests of endpoints that state rate limits -----===//
+//===- ratesharestest.cpp - Tests of announced rate limits ----------------===//
 
 #include "controlfixture.h"
 #include "proxiedfixture.h"
@@ -19,30 +19,31 @@
 
 const std::vector<std::string> allEngines = {"engine-0", "engine-1", "engine-2"};
 
-struct LimitBench : ProxiedFixture
+struct LimitFixture : ProxiedFixture
 {
-    void state(const std::string &endpoint, std::optional<double> perSecond, std::size_t hosts = 9)
+    void announce(const std::string &endpoint, std::optional<double> perSecond,
+                  std::size_t hosts = 9)
     {
         applyLimit(*snapshot, endpoint, {perSecond, clock.now()}, {"h1", hosts, hosts},
                    clock.now());
     }
-    void stateAll(std::optional<double> perSecond, std::size_t hosts = 9)
+    void announceAll(std::optional<double> perSecond, std::size_t hosts = 9)
     {
         for (const std::string &endpoint : allEngines) {
-            state(endpoint, perSecond, hosts);
+            announce(endpoint, perSecond, hosts);
         }
     }
 };
 
-/// Hosts that each have a snapshot of their own with the same engine, and always a request
-/// for it while they are busy.
+/// Hosts with one snapshot each of the same engine. While a host sends, it always has a request
+/// for that engine.
 class Fleet
 {
 public:
-    /// \param splits of the hosts that cannot hear each other.
-    Fleet(std::size_t hosts, std::size_t splits, bool isBatched, const std::string &endpoint)
+    /// \param partitions Number of network partitions of equal size.
+    Fleet(std::size_t hosts, std::size_t partitions, bool isBatched, const std::string &endpoint)
         : m_hosts(hosts)
-        , m_splits(splits)
+        , m_partitions(partitions)
         , m_endpoint(endpoint)
     {
         std::vector<Resource> resources;
@@ -62,20 +63,20 @@
         }
     }
 
-    /// Host \p number hears of the limit.
-    void tell(std::size_t number, double perSecond, bool keepsShare = true)
+    /// Applies the limit at \p host.
+    void applyTo(std::size_t host, double perSecond, bool knowsAllHosts = true)
     {
-        const std::size_t known = keepsShare ? m_hosts : 1;
-        const std::size_t heard = std::max<std::size_t>(1, known / m_splits);
-        applyLimit(*m_snapshots[number], m_endpoint, {perSecond, m_now},
-                   {fmt::format("h{}", number), known, heard}, m_now);
+        const std::size_t known = knowsAllHosts ? m_hosts : 1;
+        const std::size_t reachable = std::max<std::size_t>(1, known / m_partitions);
+        applyLimit(*m_snapshots[host], m_endpoint, {perSecond, m_now},
+                   {fmt::format("h{}", host), known, reachable}, m_now);
     }
-    /// All of \p senders send what they may for \p time.
-    void run(Duration time, const std::vector<std::size_t> &senders)
+    /// Lets \p senders send in all their send slots for \p duration.
+    void run(Duration duration, const std::vector<std::size_t> &senders)
     {
-        for (const TimePoint end = m_now + time; m_now < end; m_now += milliseconds(20)) {
-            for (const std::size_t number : senders) {
-                const EndpointEntry &entry = *m_snapshots[number]->endpoint(m_endpoint);
+        for (const TimePoint end = m_now + duration; m_now < end; m_now += milliseconds(20)) {
+            for (const std::size_t host : senders) {
+                const EndpointEntry &entry = *m_snapshots[host]->endpoint(m_endpoint);
                 if (claimSendSlot(entry, m_now)) {
                     recordSend(entry, m_now);
                     ++m_sent;
@@ -85,21 +86,21 @@
             while (!m_window.empty() && m_now - m_window.front() >= RateTolerance::window) {
                 m_window.pop_front();
             }
-            m_most = std::max(m_most, m_window.size());
+            m_maxInWindow = std::max(m_maxInWindow, m_window.size());
         }
     }
-    void idle(Duration time) { m_now += time; }
-    [[nodiscard]] double most() const { return static_cast<double>(m_most); }
+    void idle(Duration duration) { m_now += duration; }
+    [[nodiscard]] double maxInWindow() const { return static_cast<double>(m_maxInWindow); }
     [[nodiscard]] double sent() const { return static_cast<double>(m_sent); }
 
 private:
     std::size_t m_hosts;
-    std::size_t m_splits;
+    std::size_t m_partitions;
     std::string m_endpoint;
     std::vector<std::unique_ptr<const Snapshot>> m_snapshots;
     TimePoint m_now = TimePoint(seconds(1000));
     std::deque<TimePoint> m_window;
-    std::size_t m_most = 0;
+    std::size_t m_maxInWindow = 0;
     std::size_t m_sent = 0;
 };
 
@@ -116,7 +117,7 @@
 
 TEST_GROUP(RateShares){};
 
-TEST(RateShares, AllHostsTogetherKeepAnEndpointsLimitBusyAtOnceOrAfterAPause)
+TEST(RateShares, AllHostsTogetherKeepTheLimitUnderLoadAndAfterAnIdlePeriod)
 {
     for (const std::size_t hosts : {3U, 9U, 30U, 400U}) {
         for (const double rate : {0.0, 0.25, 1.0, 4.0, 20.0}) {
@@ -125,52 +126,52 @@
             for (int i = 0; i < endpoints; ++i) {
                 Fleet fleet(hosts, 1, false, fmt::format("e{}", i));
                 for (std::size_t host = 0; host < hosts; ++host) {
-                    fleet.tell(host, rate);
+                    fleet.applyTo(host, rate);
                 }
                 fleet.run(seconds(20), allOf(hosts));
                 fleet.idle(seconds(2000));
                 fleet.run(seconds(20), allOf(hosts));
-                CHECK(fleet.most() <= RateTolerance::requests(rate));
+                CHECK(fleet.maxInWindow() <= RateTolerance::requests(rate));
                 sent += fleet.sent();
             }
             const double used = sent / endpoints / 40;
-            // What it accepts is used: a quarter where hosts are drawn, else nearly all.
+            // Most of the rate is used if all hosts send, at least a quarter if some are selected.
             const bool allSend = static_cast<double>(hosts) <= RateTolerance::requests(rate);
             CHECK(used >= rate * (allSend ? 0.9 : 0.25));
         }
     }
 }
 
-/// The control: each host takes the limit for its own.
-TEST(RateShares, HostsThatTakeTheLimitForTheirOwnExceedIt)
+/// Control: each host uses the whole limit.
+TEST(RateShares, HostsThatDoNotShareTheLimitExceedIt)
 {
     for (const std::size_t hosts : {9U, 400U}) {
         Fleet fleet(hosts, 1, false, "e");
         for (std::size_t host = 0; host < hosts; ++host) {
-            fleet.tell(host, 1, false);
+            fleet.applyTo(host, 1, false);
         }
         fleet.run(seconds(8), allOf(hosts));
-        CHECK(fleet.most() > RateTolerance::requests(1));
+        CHECK(fleet.maxInWindow() > RateTolerance::requests(1));
     }
 }
 
-TEST(RateShares, BatchersOfHostsThatAreCutOffFromEachOtherKeepALimitTogether)
+TEST(RateShares, BatchersInDifferentNetworkPartitionsKeepTheLimitTogether)
 {
     for (const std::size_t hosts : {9U, 400U}) {
-        for (const std::size_t splits : {std::size_t{1}, std::size_t{3}, hosts}) {
+        for (const std::size_t partitions : {std::size_t{1}, std::size_t{3}, hosts}) {
             for (const double rate : {0.25, 1.0, 4.0}) {
-                Fleet fleet(hosts, splits, true, "e");
+                Fleet fleet(hosts, partitions, true, "e");
                 std::vector<std::size_t> batchers;
-                for (std::size_t part = 0; part < splits; ++part) {
-                    batchers.push_back(part);
-                    fleet.tell(part, rate);
+                for (std::size_t partition = 0; partition < partitions; ++partition) {
+                    batchers.push_back(partition);
+                    fleet.applyTo(partition, rate);
                 }
-                if (splits == 1) {
-                    batchers.push_back(1); // Another host takes over, and both send for a while.
-                    fleet.tell(1, rate);
+                if (partitions == 1) {
+                    batchers.push_back(1); // While another host takes over, both send.
+                    fleet.applyTo(1, rate);
                 }
                 fleet.run(seconds(40), batchers);
-                CHECK(fleet.most() <= RateTolerance::requests(rate));
+                CHECK(fleet.maxInWindow() <= RateTolerance::requests(rate));
             }
         }
     }
@@ -182,46 +183,46 @@
     CHECK(!RateShares().batcherShareOf("e", 1));
 }
 
-TEST(RateShares, ARepeatedStatementDoesNotPostponeTheNextSend)
+TEST(RateShares, ARepeatedAnnouncementDoesNotDelayTheNextSend)
 {
-    LimitBench bench;
-    bench.state("engine-0", 1);
-    const EndpointEntry &entry = *bench.snapshot->endpoint("engine-0");
-    CHECK(claimSendSlot(entry, bench.clock.now()));
-    CHECK(!claimSendSlot(entry, bench.clock.now()));
+    LimitFixture fixture;
+    fixture.announce("engine-0", 1);
+    const EndpointEntry &entry = *fixture.snapshot->endpoint("engine-0");
+    CHECK(claimSendSlot(entry, fixture.clock.now()));
+    CHECK(!claimSendSlot(entry, fixture.clock.now()));
     for (int i = 0; i < 9; ++i) {
-        bench.clock.advance(seconds(1));
-        bench.state("engine-0", 1, 9 + static_cast<std::size_t>(i % 2));
+        fixture.clock.advance(seconds(1));
+        fixture.announce("engine-0", 1, 9 + static_cast<std::size_t>(i % 2));
     }
-    CHECK(claimSendSlot(entry, bench.clock.now()));
+    CHECK(claimSendSlot(entry, fixture.clock.now()));
 }
 
 TEST_GROUP(EndpointRateLimit){};
 
-TEST(EndpointRateLimit, TheOthersServeWhatOneDoesNotAccept)
+TEST(EndpointRateLimit, OtherEndpointsServeWhatTheLimitedOneDoesNotAccept)
 {
-    LimitBench bench;
-    bench.state("engine-0", 1);
+    LimitFixture fixture;
+    fixture.announce("engine-0", 1);
     for (int i = 0; i < 16; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(16, bench.sends.size());
+    LONGS_EQUAL(16, fixture.sends.size());
     const auto limited =
-        std::count_if(bench.sends.begin(), bench.sends.end(),
+        std::count_if(fixture.sends.begin(), fixture.sends.end(),
                       [](const auto &send) { return send.endpoint == "engine-0"; });
     CHECK(limited <= 1);
 }
 
-TEST(EndpointRateLimit, WhereAllAreLimitedTheTurnsAreUsedAndTheRestIsRefusedAtOnce)
+TEST(EndpointRateLimit, IfAllAreLimitedRequestsWithoutASendSlotAreRefusedAtOnce)
 {
-    LimitBench bench;
-    bench.stateAll(1);
+    LimitFixture fixture;
+    fixture.announceAll(1);
     for (int i = 0; i < 10; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(3, bench.sends.size());
-    LONGS_EQUAL(7, bench.answers.size());
-    for (const AnswerCaller &answer : bench.answers) {
+    LONGS_EQUAL(3, fixture.sends.size());
+    LONGS_EQUAL(7, fixture.answers.size());
+    for (const AnswerCaller &answer : fixture.answers) {
         CHECK(answer.outcome == Outcome::NotRun);
         CHECK(answer.reason == Reason::NoEndpoint);
         CHECK(answer.retryAfter > Duration::zero());
@@ -229,47 +230,47 @@
     }
 }
 
-TEST(EndpointRateLimit, ARequestWaitsForATurnThatComesInTime)
+TEST(EndpointRateLimit, ARequestWaitsForASendSlotBeforeItsDeadline)
 {
-    LimitBench bench;
-    bench.stateAll(9); // A turn in each second.
+    LimitFixture fixture;
+    fixture.announceAll(9); // One send slot per second.
     for (int i = 0; i < 3; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    bench.advance(milliseconds(600));
-    LONGS_EQUAL(3, bench.sends.size());
+    fixture.advance(milliseconds(600));
+    LONGS_EQUAL(3, fixture.sends.size());
     for (int i = 0; i < 8; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    const std::size_t refused = bench.answers.size();
-    bench.advance(milliseconds(450));
-    LONGS_EQUAL(6, bench.sends.size());
+    const std::size_t refused = fixture.answers.size();
+    fixture.advance(milliseconds(450));
+    LONGS_EQUAL(6, fixture.sends.size());
     LONGS_EQUAL(5, refused);
-    LONGS_EQUAL(refused, bench.answers.size());
+    LONGS_EQUAL(refused, fixture.answers.size());
 }
 
-TEST(EndpointRateLimit, ALiftedLimitHoldsNothingBack)
+TEST(EndpointRateLimit, ALiftedLimitDelaysNoRequest)
 {
-    LimitBench bench;
-    bench.stateAll(1);
-    bench.stateAll(std::nullopt);
+    LimitFixture fixture;
+    fixture.announceAll(1);
+    fixture.announceAll(std::nullopt);
     for (int i = 0; i < 10; ++i) {
-        bench.arrive("/read/1");
+        fixture.arrive("/read/1");
     }
-    LONGS_EQUAL(10, bench.sends.size());
+    LONGS_EQUAL(10, fixture.sends.size());
 }
 
-TEST(EndpointRateLimit, PeersTellOfLimitsAndOfTheirEnd)
+TEST(EndpointRateLimit, PeersReportLimitsAndTheirEnd)
 {
     const TimePoint start = TimePoint(seconds(100));
     EndpointLimits first;
     EndpointLimits second;
     const auto exchange = [](EndpointLimits &from, EndpointLimits &to, TimePoint now) {
-        bool isChange = false;
+        bool hasChanged = false;
         for (const EndpointLimitReport &report : from.reports(now)) {
-            isChange = to.recordReport(report, now) || isChange;
+            hasChanged = to.recordReport(report, now) || hasChanged;
         }
-        return isChange;
+        return hasChanged;
     };
     CHECK(first.record("e", {1.0, start}, start));
     CHECK(exchange(first, second, start + seconds(1)));
@@ -279,23 +280,24 @@
     CHECK(first.inForce().empty());
 }
 
-TEST(EndpointRateLimit, AHostThatWasCutOffWhileALimitEndedHearsOfIt)
+TEST(EndpointRateLimit, AHostThatWasPartitionedWhenALimitWasLiftedLearnsOfIt)
 {
     const TimePoint start = TimePoint(seconds(100));
     const TimePoint later = start + std::chrono::minutes(10);
-    EndpointLimits cutOff;
+    EndpointLimits partitioned;
     EndpointLimits other;
-    cutOff.record("e", {1.0, start}, start);
+    partitioned.record("e", {1.0, start}, start);
     other.record("e", {1.0, start}, start);
     other.record("e", {std::nullopt, start + seconds(5)}, start + seconds(5));
     CHECK(other.reports(later).empty());
     EndpointLimits fresh;
-    for (const EndpointLimitReport &report : cutOff.reports(later)) {
+    for (const EndpointLimitReport &report : partitioned.reports(later)) {
         CHECK(!other.recordReport(report, later));
-        CHECK(!fresh.recordReport(report, later)); // Too old for one that never heard of it.
+        CHECK(
+            !fresh.recordReport(report, later)); // Too old for a host that does not know the limit.
     }
     for (const EndpointLimitReport &report : other.reports(later)) {
-        CHECK(cutOff.recordReport(report, later));
+        CHECK(partitioned.recordReport(report, later));
     }
-    CHECK(cutOff.inForce().empty());
+    CHECK(partitioned.inForce().empty());
 }
--- a/unittests/Kernel/regionlimittest.cpp
+++ b/unittests/Kernel/regionlimittest.cpp
@@ -1,4 +1,4 @@
-//===- regionlimittest.cpp - Tests of the regions that may serve ----------===//
+//===- regionlimittest.cpp - Tests of allowed regions ---------------------===//
 
 #include "proxiedfixture.h"
 
@@ -13,9 +13,9 @@
 
 using Names = std::vector<std::string>;
 
-/// The configuration of proxied requests, with "dc1" in "north" and "dc2" in "south"; route
-/// "read" and account "drivers" name regions.
-std::vector<Resource> limited(const Names &routeRegions, const Names &accountRegions)
+/// Returns the configuration of proxied requests with "dc1" in "north" and "dc2" in "south", and
+/// with the allowed regions of route "read" and account "drivers".
+std::vector<Resource> regionConfiguration(const Names &routeRegions, const Names &accountRegions)
 {
     std::vector<Resource> resources = proxiedConfiguration();
     for (Resource &resource : resources) {
@@ -31,57 +31,60 @@
     return resources;
 }
 
-/// Where 20 requests were sent: data centres, each once; "refused" for those that were, at once.
-std::set<std::string> placesOf(const Names &routeRegions, const Names &accountRegions,
-                               std::uint64_t tokens = 0)
+/// Sends 20 requests. Returns the data centres that got some, and "refused" if any was refused at
+/// once.
+std::set<std::string> servingDataCentres(const Names &routeRegions, const Names &accountRegions,
+                                         std::uint64_t tokens = 0)
 {
-    ProxiedFixture bench;
-    bench.snapshot = buildSnapshot(limited(routeRegions, accountRegions), 2, "dc1", nullptr);
+    ProxiedFixture fixture;
+    fixture.snapshot =
+        buildSnapshot(regionConfiguration(routeRegions, accountRegions), 2, "dc1", nullptr);
     for (int i = 0; i < 20; ++i) {
-        bench.arrive("/read/1", "key-1", {}, tokens);
+        fixture.arrive("/read/1", "key-1", {}, tokens);
     }
-    std::set<std::string> places;
-    for (const SendStage &send : bench.sends) {
-        places.insert(bench.snapshot->endpoint(send.endpoint)->spec.dataCentre);
+    std::set<std::string> dataCentres;
+    for (const SendStage &send : fixture.sends) {
+        dataCentres.insert(fixture.snapshot->endpoint(send.endpoint)->spec.dataCentre);
     }
-    for (const AnswerCaller &answer : bench.answers) {
+    for (const AnswerCaller &answer : fixture.answers) {
         CHECK(answer.outcome == Outcome::NotRun);
-        places.insert("refused");
+        dataCentres.insert("refused");
     }
-    return places;
+    return dataCentres;
 }
 
 } // namespace
 
 TEST_GROUP(RegionLimit){};
 
-TEST(RegionLimit, WithoutOneAllServe)
+TEST(RegionLimit, AllDataCentresServeWithoutALimit)
 {
-    CHECK((placesOf({}, {}) == std::set<std::string>{"dc1", "dc2"}));
+    CHECK((servingDataCentres({}, {}) == std::set<std::string>{"dc1", "dc2"}));
 }
 
-TEST(RegionLimit, ARequestIsServedWhereItsRouteOrItsAccountAllows)
+TEST(RegionLimit, RouteAndAccountEachLimitTheRegions)
 {
-    CHECK((placesOf({"south"}, {}) == std::set<std::string>{"dc2"}));
-    CHECK((placesOf({}, {"south"}) == std::set<std::string>{"dc2"}));
-    CHECK((placesOf({"south", "nowhere"}, {}) == std::set<std::string>{"dc2"}));
+    CHECK((servingDataCentres({"south"}, {}) == std::set<std::string>{"dc2"}));
+    CHECK((servingDataCentres({}, {"south"}) == std::set<std::string>{"dc2"}));
+    CHECK((servingDataCentres({"south", "nowhere"}, {}) == std::set<std::string>{"dc2"}));
 }
 
-/// Also where the home of its prompt stands elsewhere.
-TEST(RegionLimit, APromptsHomeIsNoReasonToCross)
+/// A prompt stays in the allowed regions even if its preferred endpoint is outside of them.
+TEST(RegionLimit, ThePreferredEndpointOfAPromptIsNoException)
 {
-    const std::set<std::string> places = placesOf({"south"}, {}, 8000);
-    CHECK(places.contains("dc2"));
-    CHECK(!places.contains("dc1")); // Some are refused: there is one endpoint to read them all.
+    const std::set<std::string> dataCentres = servingDataCentres({"south"}, {}, 8000);
+    CHECK(dataCentres.contains("dc2"));
+    CHECK(!dataCentres.contains(
+        "dc1")); // Some are refused: a single endpoint would have to prefill all.
 }
 
-TEST(RegionLimit, BothBindWhereBothNameSome)
+TEST(RegionLimit, LimitsOfRouteAndAccountBothApply)
 {
-    CHECK((placesOf({"north", "south"}, {"south"}) == std::set<std::string>{"dc2"}));
+    CHECK((servingDataCentres({"north", "south"}, {"south"}) == std::set<std::string>{"dc2"}));
 }
 
-TEST(RegionLimit, WhereNoneIsLeftARequestIsRefusedAtOnce)
+TEST(RegionLimit, ARequestIsRefusedAtOnceIfNoRegionIsAllowed)
 {
-    CHECK((placesOf({"north"}, {"south"}) == std::set<std::string>{"refused"}));
-    CHECK((placesOf({"nowhere"}, {}) == std::set<std::string>{"refused"}));
+    CHECK((servingDataCentres({"north"}, {"south"}) == std::set<std::string>{"refused"}));
+    CHECK((servingDataCentres({"nowhere"}, {}) == std::set<std::string>{"refused"}));
 }
--- a/unittests/Kernel/routingtest.cpp
+++ b/unittests/Kernel/routingtest.cpp
@@ -1,4 +1,4 @@
-//===- routingtest.cpp - Tests of the choice of an endpoint ---------------===//
+//===- routingtest.cpp - Tests of endpoint selection ----------------------===//
 
 #include "kernelfixture.h"
 
@@ -17,7 +17,7 @@
 
 constexpr std::uint64_t manyPrefixes = 600;
 
-/// A pool that keeps prompts, with endpoints in two data centres.
+/// Returns a snapshot with a pool that caches prompts and has endpoints in two data centres.
 std::unique_ptr<const Snapshot> promptPool(int endpoints, const std::string &dataCentre)
 {
     std::vector<Resource> resources;
@@ -33,7 +33,7 @@
     return buildSnapshot(resources, 1, dataCentre, nullptr);
 }
 
-std::string homeName(const Snapshot &snapshot, std::uint64_t prefix)
+std::string preferredName(const Snapshot &snapshot, std::uint64_t prefix)
 {
     return snapshot.pool("engines")->preferredEndpoint(hash64("prefix", prefix))->spec.name;
 }
@@ -47,7 +47,7 @@
     std::unique_ptr<RoutingPolicy> policy =
         Registry<RoutingPolicy>::instance().make("power-of-two");
 
-    /// How often each endpoint is chosen in a hundred choices.
+    /// Returns how often each endpoint is selected in 100 runs.
     std::map<std::string, int> choices(const Snapshot &snapshot, const EndpointEntry *preferred)
     {
         std::map<std::string, int> counts;
@@ -59,26 +59,26 @@
     }
 };
 
-TEST(Routing, DaemonsOfAllDataCentresAgreeOnThePlaceOfAPrompt)
+TEST(Routing, DaemonsInAllDataCentresAgreeOnThePreferredEndpoint)
 {
     const auto here = promptPool(6, "dc1");
     const auto there = promptPool(6, "dc2");
     std::map<std::string, int> counts;
     for (std::uint64_t prefix = 0; prefix < manyPrefixes; ++prefix) {
-        STRCMP_EQUAL(homeName(*here, prefix).c_str(), homeName(*there, prefix).c_str());
-        ++counts[homeName(*here, prefix)];
+        STRCMP_EQUAL(preferredName(*here, prefix).c_str(), preferredName(*there, prefix).c_str());
+        ++counts[preferredName(*here, prefix)];
     }
     CHECK_EQUAL(6u, counts.size());
 }
 
-TEST(Routing, ANewEndpointTakesFewPromptsFromTheOthers)
+TEST(Routing, ANewEndpointMovesFewPrompts)
 {
     const auto before = promptPool(6, "dc1");
     const auto after = promptPool(7, "dc1");
     std::uint64_t moved = 0;
     for (std::uint64_t prefix = 0; prefix < manyPrefixes; ++prefix) {
-        const std::string now = homeName(*after, prefix);
-        if (now != homeName(*before, prefix)) {
+        const std::string now = preferredName(*after, prefix);
+        if (now != preferredName(*before, prefix)) {
             STRCMP_EQUAL("engine-6", now.c_str());
             ++moved;
         }
@@ -87,7 +87,7 @@
     CHECK(moved < manyPrefixes / 3);
 }
 
-TEST(Routing, APromptGoesHomeUntilThatIsMuchBusier)
+TEST(Routing, APromptGoesToItsPreferredEndpointUnlessThatIsMuchBusier)
 {
     const auto snapshot = promptPool(6, "dc1");
     const PoolEntry &pool = *snapshot->pool("engines");
@@ -100,7 +100,7 @@
     CHECK_EQUAL(0, choices(*snapshot, preferred)["engine-3"]);
 }
 
-TEST(Routing, ACrossingIsWorthItWhereTheOwnDataCentreIsSlow)
+TEST(Routing, UsesAnotherDataCentreIfTheOwnOneIsSlow)
 {
     const auto snapshot = promptPool(6, "dc1");
     const PoolEntry &pool = *snapshot->pool("engines");
--- a/unittests/Kernel/slotsharestest.cpp
+++ b/unittests/Kernel/slotsharestest.cpp
@@ -1,4 +1,4 @@
-//===- slotsharestest.cpp - Tests of shares among accounts and daemons ----===//
+//===- slotsharestest.cpp - Tests of slot shares --------------------------===//
 
 #include "kernelfixture.h"
 
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// Two accounts, of weight 3 and 1, before two endpoints with four slots each:
-/// twelve calls in flight, nine and three for them where both want more.
-struct Division
+/// Two accounts with weights 3 and 1, and two endpoints with four slots each: twelve calls may be
+/// in flight, nine and three of the accounts if both need more.
+struct SharesFixture
 {
-    Division()
+    SharesFixture()
         : snapshot(buildSnapshot(smallConfiguration(2, 4), 1, "dc1", nullptr))
     {
     }
@@ -28,7 +28,7 @@
     {
         return *snapshot->account(account)->loads.at("engines");
     }
-    /// How many calls of \p account may be in flight here.
+    /// Returns how many calls of \p account may be in flight from this daemon.
     int allowed(const std::string &account)
     {
         SlotShares shares;
@@ -52,7 +52,7 @@
     static constexpr bool sharesSlots = false;
 };
 
-sim::LoadSetup threeDaemonsBeforeThreeEngines()
+sim::LoadSetup threeDaemonsAndThreeEngines()
 {
     sim::LoadSetup setup;
     setup.hosts = 3;
@@ -66,23 +66,23 @@
     return setup;
 }
 
-/// Attainment of an account that wants little, while another wants four times
-/// what there is.
+/// Returns the attainment of an account with low demand while another one demands four times the
+/// capacity.
 template <GuardPolicy G>
-double attainmentBesideAFlood()
+double attainmentUnderOverload()
 {
-    sim::LoadWorld<G> world(threeDaemonsBeforeThreeEngines());
+    sim::LoadWorld<G> world(threeDaemonsAndThreeEngines());
     world.add({"small", "answer", 36, seconds(0), seconds(6), -1, 1});
     world.add({"large", "answer", 480, seconds(1), seconds(6), -1, 1});
     world.run(seconds(8));
     return world.report().accounts().at("small").attainment();
 }
 
-/// Two accounts want more than there is, one through one daemon and one through
-/// all: the engines' time of the first for that of the second.
-double shareOfTheOneDaemonFlood(bool exchangesUse)
+/// Two accounts demand more than the capacity, one through a single daemon and one through all.
+/// Returns the ratio of the first account's engine time to the second's.
+double singleDaemonShare(bool exchangesUse)
 {
-    sim::LoadSetup setup = threeDaemonsBeforeThreeEngines();
+    sim::LoadSetup setup = threeDaemonsAndThreeEngines();
     setup.exchangesUse = exchangesUse;
     sim::LoadWorld<AllGuards> world(setup);
     world.add({"large", "answer", 240, seconds(0), seconds(8), 0, 1});
@@ -96,68 +96,68 @@
 
 TEST_GROUP(SlotShares){};
 
-TEST(SlotShares, NobodyIsLimitedWhileAllDemandFits)
+TEST(SlotShares, NoAccountIsLimitedWhileAllDemandFits)
 {
-    Division division;
-    division.load("drivers").demand = 8;
-    division.load("lab").demand = 4;
-    CHECK_EQUAL(100, division.allowed("drivers"));
-    CHECK_EQUAL(100, division.allowed("lab"));
+    SharesFixture fixture;
+    fixture.load("drivers").demand = 8;
+    fixture.load("lab").demand = 4;
+    CHECK_EQUAL(100, fixture.allowed("drivers"));
+    CHECK_EQUAL(100, fixture.allowed("lab"));
 }
 
-TEST(SlotShares, DemandAboveTheSlotsIsDividedByWeight)
+TEST(SlotShares, SlotsAreDividedByWeightIfDemandExceedsThem)
 {
-    Division division;
-    division.load("drivers").demand = 100;
-    division.load("lab").demand = 100;
-    CHECK_EQUAL(9, division.allowed("drivers"));
-    CHECK_EQUAL(3, division.allowed("lab"));
+    SharesFixture fixture;
+    fixture.load("drivers").demand = 100;
+    fixture.load("lab").demand = 100;
+    CHECK_EQUAL(9, fixture.allowed("drivers"));
+    CHECK_EQUAL(3, fixture.allowed("lab"));
 }
 
-TEST(SlotShares, WhatOneDoesNotWantGoesToTheOthers)
+TEST(SlotShares, UnusedShareGoesToTheOtherAccounts)
 {
-    Division division;
-    division.load("drivers").demand = 2;
-    division.load("lab").demand = 100;
-    CHECK_EQUAL(100, division.allowed("drivers"));
-    CHECK_EQUAL(10, division.allowed("lab"));
+    SharesFixture fixture;
+    fixture.load("drivers").demand = 2;
+    fixture.load("lab").demand = 100;
+    CHECK_EQUAL(100, fixture.allowed("drivers"));
+    CHECK_EQUAL(10, fixture.allowed("lab"));
 }
 
-TEST(SlotShares, ADaemonTakesItsPartOfAnAccountsShare)
+TEST(SlotShares, ADaemonGetsAShareInProportionToItsDemand)
 {
-    Division division;
-    division.load("drivers").demand = 20;
-    division.load("drivers").peerDemand = 40;
-    division.load("lab").demand = 100;
-    CHECK_EQUAL(3, division.allowed("drivers"));
+    SharesFixture fixture;
+    fixture.load("drivers").demand = 20;
+    fixture.load("drivers").peerDemand = 40;
+    fixture.load("lab").demand = 100;
+    CHECK_EQUAL(3, fixture.allowed("drivers"));
 }
 
-TEST(SlotShares, EveryAccountThatWaitsMaySendSomething)
+TEST(SlotShares, EveryAccountWithDemandMayHaveOneCall)
 {
-    Division division;
-    division.load("drivers").demand = 1;
-    division.load("drivers").peerDemand = 5000;
-    division.load("lab").demand = 1;
-    CHECK_EQUAL(1, division.allowed("drivers"));
+    SharesFixture fixture;
+    fixture.load("drivers").demand = 1;
+    fixture.load("drivers").peerDemand = 5000;
+    fixture.load("lab").demand = 1;
+    CHECK_EQUAL(1, fixture.allowed("drivers"));
 }
 
-TEST(SlotShares, AFloodDoesNotCrowdOutOthers)
+TEST(SlotShares, OneAccountsOverloadDoesNotStarveOthers)
 {
-    CHECK(attainmentBesideAFlood<AllGuards>() > 0.95);
-    // The control: what comes first goes first.
-    CHECK(attainmentBesideAFlood<WithoutShares>() < 0.7);
+    CHECK(attainmentUnderOverload<AllGuards>() > 0.95);
+    // Control: first come, first served.
+    CHECK(attainmentUnderOverload<WithoutShares>() < 0.7);
 }
 
-TEST(SlotShares, ItDoesNotMatterThroughWhichDaemonsAnAccountComes)
+TEST(SlotShares, SharesDoNotDependOnTheNumberOfDaemonsAnAccountUses)
 {
-    CHECK(shareOfTheOneDaemonFlood(true) > 0.75);
-    // The control: daemons that do not hear of each other.
-    CHECK(shareOfTheOneDaemonFlood(false) < 0.6);
+    CHECK(singleDaemonShare(true) > 0.75);
+    // Control: daemons do not exchange usage.
+    CHECK(singleDaemonShare(false) < 0.6);
 }
 
 TEST_GROUP(PeerDemand){};
 
-TEST(PeerDemand, SumsWhatPeersToldAndForgetsTheSilent)
+TEST(PeerDemand, SumsReportsOfPeersAndExpiresThoseOfLostPeers)
 {
     ManualClock clock;
     PeerDemand demand(clock);
@@ -179,7 +179,7 @@
     CHECK_EQUAL(0u, demand.changes().size());
 }
 
-TEST(PeerDemand, ADemandThatEndedIsTold)
+TEST(PeerDemand, TheEndOfDemandIsReported)
 {
     ManualClock clock;
     PeerDemand demand(clock);
