--- a/include/harelink/Kernel/piecerouter.h
+++ b/include/harelink/Kernel/piecerouter.h
@@ -9,7 +9,7 @@
 /// - One batcher per endpoint: daemons choose the endpoint by information up to 250 ms
 ///   old, and a piece waits at a busy endpoint while another one is free
 ///   (docs/DESIGN.md has the figures).
-/// - One batcher per pool, selected by rendezvous hashing over the live and able daemons:
+/// - One batcher per pool, selected by rendezvous hashing over the live high-capacity daemons:
 ///   each piece goes to the endpoint that is free first. This is implemented here; large
 ///   pools have one batcher per data centre. The loss of a batcher delays its pool by
 ///   batcherTimeout.
--- a/include/harelink/Kernel/resultbufferusage.h
+++ b/include/harelink/Kernel/resultbufferusage.h
@@ -23,8 +23,8 @@
 {
     std::string endpoint;
     std::uint64_t bytes = 0;
-    TimePoint until;  ///< When it expires at its endpoint.
-    std::string host; ///< The daemon that ordered it.
+    TimePoint expiresAt; ///< When it expires at its endpoint.
+    std::string host;    ///< The daemon that ordered it.
 };
 
 /// The buffer usage of all endpoints of one pool.
@@ -60,7 +60,7 @@
 
     /// Lower bound of all expiry times. Most results are freed long before they expire, so
     /// expire() rarely has to scan them all.
-    TimePoint m_earliestEnd = TimePoint::max();
+    TimePoint m_earliestExpiry = TimePoint::max();
     Results m_results;
     std::map<std::string, std::uint64_t> m_bytes; ///< By endpoint.
     std::map<std::string, TimePoint> m_fullUntil; ///< By endpoint.
--- a/lib/Kernel/resultbufferusage.cpp
+++ b/lib/Kernel/resultbufferusage.cpp
@@ -22,7 +22,7 @@
 {
     remove(handle);
     m_bytes[result.endpoint] += result.bytes;
-    m_earliestEnd = std::min(m_earliestEnd, result.until);
+    m_earliestExpiry = std::min(m_earliestExpiry, result.expiresAt);
     m_results.emplace(handle, std::move(result));
 }
 
@@ -58,14 +58,14 @@
 
 void ResultBufferUsage::expire(TimePoint now)
 {
-    if (now >= m_earliestEnd) {
-        m_earliestEnd = TimePoint::max();
+    if (now >= m_earliestExpiry) {
+        m_earliestExpiry = TimePoint::max();
         for (auto result = m_results.begin(); result != m_results.end();) {
-            const TimePoint end = result->second.until;
-            if (end > now) {
-                m_earliestEnd = std::min(m_earliestEnd, end);
+            const TimePoint expiry = result->second.expiresAt;
+            if (expiry > now) {
+                m_earliestExpiry = std::min(m_earliestExpiry, expiry);
             }
-            result = end <= now ? erase(result) : std::next(result);
+            result = expiry <= now ? erase(result) : std::next(result);
         }
     }
     std::erase_if(m_fullUntil, [now](const auto &entry) { return entry.second <= now; });
--- a/unittests/Kernel/pieceroutertest.cpp
+++ b/unittests/Kernel/pieceroutertest.cpp
@@ -178,7 +178,7 @@
 
 /// Guards against each daemon of a large cluster choosing itself as batcher when all start
 /// together, before they have received heartbeats of each other.
-TEST(PieceRouter, LargeStartingClusterChoosesAnAbleDeclaredHost)
+TEST(PieceRouter, LargeStartingClusterChoosesAHighCapacityHost)
 {
     StartingFixture fixture(100);
     fixture.submit(1);
