--- a/include/harelink/Kernel/configgossip.h
+++ b/include/harelink/Kernel/configgossip.h
@@ -7,10 +7,11 @@
 /// In each data centre a few daemons watch the platform, preferably on high-capacity hosts.
 /// The first two of them push changes to the other daemons of their data centre. The other
 /// watchers immediately send a digest, a hash over the versions that they have seen, by
-/// which a receiver detects a lost push. In addition, each second every daemon exchanges
-/// digests with one peer, and a watcher with all peers of its data centre; both sides then
-/// send each other what is missing. A daemon that receives from no watcher to which the
-/// platform answers watches the platform itself.
+/// which a receiver detects a lost push. In addition, each second every daemon sends a
+/// digest to one peer, and a watcher to all peers of its data centre. Daemons whose hashes
+/// differ exchange their versions, and then the objects that one of them lacks. A daemon
+/// that does not receive from any watcher to which the platform answers watches the
+/// platform itself.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -48,10 +49,11 @@
     void setRelayed(bool isRelayed) { m_isRelayed = isRelayed; }
     /// Returns whether this daemon watches the platform and the platform answers it.
     [[nodiscard]] bool watchesConnected() const { return m_connected && shouldWatch(); }
-    /// Returns whether this is true of this daemon, or was recently reported by one of its data
-    /// centre.
+    /// Returns whether this daemon watches the platform and the platform answers it, or a daemon
+    /// of this data centre recently reported the same.
     [[nodiscard]] bool hasWatcher() const { return watchesConnected() || hasRecentWatcher(); }
-    /// Returns whether a daemon of this data centre reported it at \p time or later.
+    /// Returns whether a daemon of this data centre recently reported the same, at \p time or
+    /// later.
     [[nodiscard]] bool watcherSeenSince(TimePoint time) const
     {
         return hasRecentWatcher() && m_watcherSeenAt >= time;
--- a/include/harelink/Kernel/configmachine.h
+++ b/include/harelink/Kernel/configmachine.h
@@ -156,7 +156,7 @@
         return m_kinds.size() == 1 && m_kinds.front() == kind;
     }
     /// Returns whether the last call to the platform, of this watcher or not, failed.
-    [[nodiscard]] bool isPlatformUnreachable() const { return m_isPlatformUnreachable; }
+    [[nodiscard]] bool isPlatformUnavailable() const { return m_isPlatformUnavailable; }
     /// Returns whether a complete listing has been received.
     [[nodiscard]] bool synced() const { return m_synced; }
     [[nodiscard]] TimePoint nextTick() const;
@@ -181,7 +181,7 @@
     /// Deletions, by name, of endpoints that may only have lapsed while the platform was
     /// unavailable.
     std::map<std::string, PlatformObject> m_delayedDeletions;
-    bool m_isPlatformUnreachable = false; ///< The last call to it failed.
+    bool m_isPlatformUnavailable = false; ///< The last call to it failed.
     TimePoint m_reconnectedAt;            ///< When it answered again after a failure.
     Version m_since = 0;
     bool m_mustList = true;
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -246,7 +246,7 @@
 TimePoint BasicConfigWatcher<G>::nextTick() const
 {
     const TimePoint call = m_callId == 0 ? m_nextCall : TimePoint::max();
-    const bool hasDelayed = !m_delayedDeletions.empty() && !m_isPlatformUnreachable;
+    const bool hasDelayed = !m_delayedDeletions.empty() && !m_isPlatformUnavailable;
     return hasDelayed ? std::min(call, m_reconnectedAt + configwatcher::lapseGracePeriod) : call;
 }
 
@@ -363,22 +363,22 @@
     const bool justReconnected =
         m_reconnectedAt != TimePoint::min()
         && m_clock.now() - m_reconnectedAt < configwatcher::lapseGracePeriod;
-    return mayHaveLapsed && (m_isPlatformUnreachable || justReconnected);
+    return mayHaveLapsed && (m_isPlatformUnavailable || justReconnected);
 }
 
 template <GuardPolicy G>
 void BasicConfigWatcher<G>::recordPlatformAnswer(bool answered)
 {
-    if (answered && m_isPlatformUnreachable) {
+    if (answered && m_isPlatformUnavailable) {
         m_reconnectedAt = m_clock.now();
     }
-    m_isPlatformUnreachable = !answered;
+    m_isPlatformUnavailable = !answered;
 }
 
 template <GuardPolicy G>
 bool BasicConfigWatcher<G>::applyDelayedDeletions()
 {
-    if (m_delayedDeletions.empty() || m_isPlatformUnreachable
+    if (m_delayedDeletions.empty() || m_isPlatformUnavailable
         || m_clock.now() - m_reconnectedAt < configwatcher::lapseGracePeriod) {
         return false;
     }
--- a/include/harelink/Kernel/controlmachine.h
+++ b/include/harelink/Kernel/controlmachine.h
@@ -118,7 +118,7 @@
     [[nodiscard]] ControlOutput drainOutput();
     /// Returns when tick() is due at the latest.
     [[nodiscard]] TimePoint nextTick() const;
-    /// Returns whether this daemon has no pending claim, and no pending end of one.
+    /// Returns whether neither a claim nor the end of one is pending at this daemon.
     [[nodiscard]] bool idle() const { return m_router.idle() && m_ledger.idle(); }
 
     [[nodiscard]] const BasicConfigTable<G> &config() const { return m_config; }
@@ -131,7 +131,7 @@
     /// Returns this daemon's share of the rate limits of endpoints.
     [[nodiscard]] RateShares rateShares() const;
     [[nodiscard]] const ClaimLedgerCounters &claimCounters() const { return m_ledger.counters(); }
-    [[nodiscard]] std::uint64_t claimDetours() const { return m_router.localFallbacks(); }
+    [[nodiscard]] std::uint64_t claimLocalFallbacks() const { return m_router.localFallbacks(); }
     [[nodiscard]] bool connected() const;
     /// Returns the time until which this daemon receives changes of endpoints, unless its next
     /// tick is late. It receives them if the platform answers this daemon, or a peer of its data
@@ -187,14 +187,13 @@
     std::uint64_t m_nextCallId = 1;
     std::uint64_t m_hostListCall = 0;
     TimePoint m_startedAt;
-    TimePoint m_dueAt = TimePoint::max(); ///< When the next tick was due, as of the last one.
-    TimePoint m_resumedAt =
-        TimePoint::min(); ///< When this process last resumed after it was suspended.
+    TimePoint m_dueAt = TimePoint::max();     ///< When the next tick was due, as of the last one.
+    TimePoint m_resumedAt = TimePoint::min(); ///< When the process last resumed after suspension.
     TimePoint m_nextHostList;
     bool m_hostListRead = false;
     bool m_keepsClaims;
-    std::uint64_t m_ownershipVersion =
-        0; ///< Of the host lists, at the last change of bucket owners.
+    /// The version of the host lists by which bucket owners were last assigned.
+    std::uint64_t m_ownershipVersion = 0;
     std::string m_hostKind;
     bool m_announced = false;
     std::uint64_t m_announceCall = 0;
--- a/include/harelink/Kernel/controlmachineimpl.h
+++ b/include/harelink/Kernel/controlmachineimpl.h
@@ -668,7 +668,7 @@
         return true;
     }
     if (watcher.followsOnly(reader.drainKind())) {
-        return watcher.isPlatformUnreachable();
+        return watcher.isPlatformUnavailable();
     }
     const auto &entries = m_config.entries();
     return std::any_of(entries.begin(), entries.end(), [&watcher](const auto &entry) {
--- a/include/harelink/Kernel/membership.h
+++ b/include/harelink/Kernel/membership.h
@@ -38,7 +38,7 @@
 struct HeartbeatTarget
 {
     std::string host;
-    bool wantsSummary = false;        ///< The receiver shall reply with summaries.
+    bool requestsSummary = false;     ///< The receiver shall reply with summaries.
     std::uint64_t knownHostsHash = 0; ///< See Heartbeat.
 };
 
@@ -119,8 +119,8 @@
     {
         return lists().localCandidates;
     }
-    /// Returns the hosts that are not leaving and were seen within \p period; includes this
-    /// host unless it is leaving.
+    /// Returns the hosts that are not leaving and were seen within \p period, or are reported as
+    /// live by a relay; includes this host unless it is leaving.
     ///
     /// \param dataCentre limits the result to this data centre; empty for all.
     [[nodiscard]] std::vector<std::string> seenWithin(Duration period,
@@ -180,7 +180,7 @@
     [[nodiscard]] TimePoint liveUntil(const PeerHost &peer) const;
     [[nodiscard]] Duration livenessTimeoutOf(const PeerHost &peer) const;
     [[nodiscard]] bool hasHighCapacity(double capacity) const;
-    [[nodiscard]] bool knowsLiveHosts() const;
+    [[nodiscard]] bool hasInitialView() const;
     template <typename Condition>
     [[nodiscard]] std::vector<std::string> selectHosts(const Condition &condition,
                                                        const std::string &dataCentre) const;
--- a/include/harelink/Kernel/peers.h
+++ b/include/harelink/Kernel/peers.h
@@ -45,8 +45,8 @@
     std::string dataCentre;
     std::string address; ///< At which the sender listens for peers.
     bool leaving = false;
-    double capacity = 1;       ///< Of the sender's host, in processor cores.
-    bool wantsSummary = false; ///< Requests the receiver to act as the sender's relay.
+    double capacity = 1;          ///< Of the sender's host, in processor cores.
+    bool requestsSummary = false; ///< Requests the receiver to act as the sender's relay.
     std::vector<UsageReport> usage;
     std::vector<std::string> leavingEndpoints; ///< As far as the sender knows.
     bool leavingKnown = false;                 ///< The sender has an initial leavingEndpoints list.
--- a/lib/Adapters/peercodec.cpp
+++ b/lib/Adapters/peercodec.cpp
@@ -155,7 +155,7 @@
         to.set_address(from.address);
         to.set_leaving(from.leaving);
         to.set_capacity(static_cast<float>(from.capacity));
-        to.set_wants_summary(from.wantsSummary);
+        to.set_wants_summary(from.requestsSummary);
         to.set_config_summary(from.configSummary);
         to.set_watches(from.watches);
         to.set_hosts_known(from.knownHostsHash);
@@ -315,7 +315,7 @@
     to.address = from.address();
     to.leaving = from.leaving();
     to.capacity = capacityOf(from.capacity());
-    to.wantsSummary = from.wants_summary();
+    to.requestsSummary = from.wants_summary();
     to.configSummary = from.config_summary();
     to.watches = from.watches();
     to.knownHostsHash = from.hosts_known();
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -748,7 +748,7 @@
         counter("harelink_claim_reads_total", claims.reads);
         counter("harelink_claim_conflicts_total", claims.conflicts);
         counter("harelink_claim_silences_total", claims.unansweredUpdates);
-        counter("harelink_claim_detours_total", m_machine.claimDetours());
+        counter("harelink_claim_detours_total", m_machine.claimLocalFallbacks());
         counter("harelink_config_dropped_news_total", m_machine.config().droppedUpdates());
         counter("harelink_config_unreadable_objects_total",
                 m_machine.config().unreadableObjects() + m_unreadableEntries);
--- a/lib/Kernel/membership.cpp
+++ b/lib/Kernel/membership.cpp
@@ -245,7 +245,7 @@
         heartbeat.address = m_address;
         heartbeat.leaving = m_leaving;
         heartbeat.capacity = m_capacity;
-        heartbeat.wantsSummary = target.wantsSummary;
+        heartbeat.requestsSummary = target.requestsSummary;
         heartbeat.knownHostsHash = target.knownHostsHash;
         if (std::optional<PeerSend> send = messageTo(target.host, std::move(heartbeat))) {
             sends.push_back(*std::move(send));
@@ -400,16 +400,16 @@
 std::vector<std::string> Membership::likelyLiveWithin(Duration period,
                                                       const std::string &dataCentre) const
 {
-    const bool knowsLive = knowsLiveHosts();
+    const bool isViewComplete = hasInitialView();
     const auto isLikely = [&](const PeerHost &peer) {
-        return seenWithin(peer, period) || (!knowsLive && peer.incarnation == 0);
+        return seenWithin(peer, period) || (!isViewComplete && peer.incarnation == 0);
     };
     return selectHosts(isLikely, dataCentre);
 }
 
 /// Returns whether this daemon has an initial view of the live hosts. In a small fleet early
 /// heartbeats provide it within milliseconds, in a large one the reply of a relay does.
-bool Membership::knowsLiveHosts() const
+bool Membership::hasInitialView() const
 {
     return m_peers.size() <= maxEarlyHeartbeatPeers || m_hasRelayHostList
            || m_clock.now() - m_startedAt >= initialViewTimeout;
--- a/lib/Kernel/peerrelay.cpp
+++ b/lib/Kernel/peerrelay.cpp
@@ -18,8 +18,8 @@
 constexpr milliseconds unresponsivePause{3000};
 /// What a daemon reported and its request for summaries are valid for four heartbeats.
 constexpr milliseconds fastHeartbeatTtl{1000};
-/// In heartbeats: in each round of this length one summary contains the usage and goes to all
-/// subscribers. A multiple of each value of Membership::heartbeatMultiplier().
+/// The length of a round, in heartbeats. One summary of each round contains the usage and goes to
+/// all subscribers. Must be a multiple of each value of Membership::heartbeatMultiplier().
 constexpr std::uint32_t usageRoundInterval = 4;
 /// A host that leaves announces it to all peers this number of times, since messages may be
 /// lost.
@@ -205,7 +205,7 @@
     }
     std::erase_if(m_requestedSince, [&targets](const auto &requested) {
         return std::none_of(targets.begin(), targets.end(), [&requested](const auto &target) {
-            return target.wantsSummary && target.host == requested.first;
+            return target.requestsSummary && target.host == requested.first;
         });
     });
     return targets;
@@ -248,7 +248,7 @@
 
 void PeerRelay::handle(const std::string &host, const Heartbeat &heartbeat)
 {
-    if (heartbeat.wantsSummary) {
+    if (heartbeat.requestsSummary) {
         m_subscribers[host] = {m_clock.now(), heartbeat.knownHostsHash};
     }
     // A relay of another data centre includes its own load in its summaries.
--- a/unittests/Kernel/peerrelaytest.cpp
+++ b/unittests/Kernel/peerrelaytest.cpp
@@ -130,7 +130,7 @@
         for (PeerSend &send : output.sends) {
             ++m_sent[name];
             const auto *heartbeat = std::get_if<Heartbeat>(&send.message.content);
-            if (heartbeat != nullptr && heartbeat->wantsSummary) {
+            if (heartbeat != nullptr && heartbeat->requestsSummary) {
                 m_requestedRelays.insert(send.host);
             }
             m_inTransit.push_back(std::move(send));
