--- a/include/harelink/Kernel/load.h
+++ b/include/harelink/Kernel/load.h
@@ -53,22 +53,22 @@
     [[nodiscard]] Duration recent(TimePoint now) const;
 
 private:
-    // Each slot packs the window's number and its microseconds.
     std::atomic<std::int64_t> m_unreportedMicros{0};
+    // Each slot packs the number of a window and its microseconds.
     std::array<std::atomic<std::uint64_t>, windowCount> m_slots{};
 };
 
 /// Load and health of one endpoint, as known to this daemon.
 struct EndpointLoad
 {
-    std::atomic<int> inFlight{0}; ///< Calls of this daemon in flight.
-    std::atomic<int> limit{0};    ///< Concurrent calls allowed to this daemon; adapted.
+    std::atomic<int> inFlight{0};               ///< Calls of this daemon in flight.
+    std::atomic<int> concurrencyLimit{0};       ///< Adaptive; of calls of this daemon.
     std::atomic<std::int64_t> latencyMicros{0}; ///< Smoothed latency of a call.
     std::atomic<int> reportedActive{0};         ///< Calls in flight by its last load report.
     std::atomic<int> failures{0};               ///< Consecutive failures.
     std::atomic<std::int64_t> ejectedUntil{0};  ///< Nanoseconds of the steady clock.
     std::atomic<std::int64_t> fullUntil{0};     ///< Set after a refusal; nanoseconds as above.
-    std::atomic<std::int64_t> progressAt{0};    ///< Last answer, or first send after idling.
+    std::atomic<std::int64_t> progressAt{0};    ///< Last answer, or first send after idle.
     std::atomic<bool> leaving{false};           ///< Never reset to false.
     std::atomic<std::int64_t> coldUntil{0};     ///< Nanoseconds of the steady clock.
     std::atomic<std::int64_t> coldInterval{0};  ///< Between own sends while cold; 0: no sends.
--- a/include/harelink/Kernel/queuepace.h
+++ b/include/harelink/Kernel/queuepace.h
@@ -30,7 +30,7 @@
     void recordFull(TimePoint now);
     /// Records that requests wait and no endpoint may be sent to, regardless of its load; or that
     /// this process was suspended.
-    void recordUnavailable() { m_sampleFrom.reset(); }
+    void recordUnavailable() { m_sampleStart.reset(); }
     /// Like recordUnavailable(); also records that no endpoint could be reached recently.
     void recordUnreachable(TimePoint now);
 
@@ -44,10 +44,10 @@
 private:
     Duration m_smoothed{};
     TimePoint m_sampledAt;
-    std::optional<TimePoint> m_sampleFrom; ///< Unset while the next dispatch is not sampled.
-    TimePoint m_movedAt;                   ///< Last dispatch, or start of waiting.
+    std::optional<TimePoint> m_sampleStart; ///< Unset while the next dispatch is not sampled.
+    TimePoint m_lastProgressAt;             ///< Last dispatch, or start of waiting.
     std::optional<TimePoint> m_unreachableSince;
-    TimePoint m_unreachableSeen;
+    TimePoint m_lastUnreachableAt;
 };
 
 } // namespace harelink
--- a/include/harelink/Kernel/slotshares.h
+++ b/include/harelink/Kernel/slotshares.h
@@ -40,7 +40,7 @@
 private:
     std::string m_pool;
     TimePoint m_updatedAt = TimePoint::min();
-    double m_level = 0; ///< Slots per unit of weight.
+    double m_slotsPerWeight = 0; ///< Share of an account per unit of weight.
     int m_usableSlots = 0;
     bool m_isLimiting = false; ///< Whether demand exceeds the slots.
 };
--- a/lib/Kernel/queuepace.cpp
+++ b/lib/Kernel/queuepace.cpp
@@ -22,27 +22,27 @@
 
 void QueuePace::recordWaiting(TimePoint now)
 {
-    m_sampleFrom = now;
-    m_movedAt = now;
+    m_sampleStart = now;
+    m_lastProgressAt = now;
 }
 
 void QueuePace::recordDispatch(TimePoint now)
 {
-    if (m_sampleFrom) {
+    if (m_sampleStart) {
         const Duration before = decayedEstimate(m_smoothed, now - m_sampledAt);
-        const std::chrono::duration<double> difference = now - *m_sampleFrom - before;
+        const std::chrono::duration<double> difference = now - *m_sampleStart - before;
         m_smoothed = before + std::chrono::duration_cast<Duration>(difference * smoothingFactor);
         m_sampledAt = now;
     }
-    m_sampleFrom = now;
-    m_movedAt = now;
+    m_sampleStart = now;
+    m_lastProgressAt = now;
     m_unreachableSince.reset();
 }
 
 void QueuePace::recordFull(TimePoint now)
 {
-    if (!m_sampleFrom) {
-        m_sampleFrom = now;
+    if (!m_sampleStart) {
+        m_sampleStart = now;
     }
 }
 
@@ -52,12 +52,12 @@
     if (!unreachableFor(now)) {
         m_unreachableSince = now;
     }
-    m_unreachableSeen = now;
+    m_lastUnreachableAt = now;
 }
 
 std::optional<Duration> QueuePace::unreachableFor(TimePoint now) const
 {
-    if (!m_unreachableSince || now - m_unreachableSeen > unreachableTtl) {
+    if (!m_unreachableSince || now - m_lastUnreachableAt > unreachableTtl) {
         return std::nullopt;
     }
     return now - *m_unreachableSince;
@@ -69,7 +69,7 @@
     if (const std::optional<Duration> unreachable = unreachableFor(now)) {
         return *unreachable < restartPeriod ? estimate : std::max(estimate, *unreachable);
     }
-    return isWaiting ? std::max(estimate, now - m_movedAt) : estimate;
+    return isWaiting ? std::max(estimate, now - m_lastProgressAt) : estimate;
 }
 
 } // namespace harelink
--- a/lib/Kernel/routing.cpp
+++ b/lib/Kernel/routing.cpp
@@ -99,8 +99,8 @@
 
 void lowerLimit(EndpointLoad &load)
 {
-    const int limit = load.limit.load(std::memory_order_relaxed);
-    load.limit.store(std::max(1, limit * 3 / 4), std::memory_order_relaxed);
+    const int limit = load.concurrencyLimit.load(std::memory_order_relaxed);
+    load.concurrencyLimit.store(std::max(1, limit * 3 / 4), std::memory_order_relaxed);
 }
 
 } // namespace
@@ -201,7 +201,7 @@
     if (isOnProbation(entry)) {
         return inFlight == 0;
     }
-    return inFlight < load.limit.load(std::memory_order_relaxed);
+    return inFlight < load.concurrencyLimit.load(std::memory_order_relaxed);
 }
 
 bool isEligible(const EndpointEntry &entry, const RoutingQuery &query)
@@ -238,9 +238,9 @@
 Duration prefillTime(const EndpointEntry &entry, const PromptInfo &prompt, bool isPreferred)
 {
     const EndpointLoad &load = *entry.load;
-    const std::int64_t ahead = load.prefillBacklog.load(std::memory_order_relaxed)
-                               + load.peerPrefillBacklog.load(std::memory_order_relaxed);
-    const double tokens = static_cast<double>(std::max<std::int64_t>(0, ahead))
+    const std::int64_t backlog = load.prefillBacklog.load(std::memory_order_relaxed)
+                                 + load.peerPrefillBacklog.load(std::memory_order_relaxed);
+    const double tokens = static_cast<double>(std::max<std::int64_t>(0, backlog))
                           + static_cast<double>(uncachedTokens(prompt, isPreferred));
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(tokens / std::max(1.0, prompt.tokensPerSecond)));
@@ -266,10 +266,10 @@
     recordProgress(entry, now);
     load.failures.store(0, std::memory_order_relaxed);
     load.fullUntil.store(0, std::memory_order_relaxed);
-    const int limit = load.limit.load(std::memory_order_relaxed);
+    const int limit = load.concurrencyLimit.load(std::memory_order_relaxed);
     const bool wasFull = load.inFlight.load(std::memory_order_relaxed) + 1 >= limit;
     if (wasFull && limit < entry.spec.slots) {
-        load.limit.store(limit + 1, std::memory_order_relaxed);
+        load.concurrencyLimit.store(limit + 1, std::memory_order_relaxed);
     }
 }
 
--- a/lib/Kernel/slotshares.cpp
+++ b/lib/Kernel/slotshares.cpp
@@ -83,8 +83,8 @@
     }
     // Accounts with the least demand for their weight come first and get all that they need.
     for (const Demand &demand : demands) {
-        m_level = slotsLeft / weightsLeft;
-        if (demand.perWeight() > m_level) {
+        m_slotsPerWeight = slotsLeft / weightsLeft;
+        if (demand.perWeight() > m_slotsPerWeight) {
             m_isLimiting = true;
             return;
         }
@@ -101,7 +101,7 @@
         return true;
     }
     const double all = demandOf(*load);
-    const double share = m_level * entry->spec.weight;
+    const double share = m_slotsPerWeight * entry->spec.weight;
     if (all <= share) {
         return true;
     }
--- a/lib/Kernel/snapshot.cpp
+++ b/lib/Kernel/snapshot.cpp
@@ -180,7 +180,7 @@
             return before->load;
         }
         auto load = std::make_shared<EndpointLoad>();
-        load->limit.store(spec.slots);
+        load->concurrencyLimit.store(spec.slots);
         return load;
     }
 
--- a/unittests/Kernel/coldchecktest.cpp
+++ b/unittests/Kernel/coldchecktest.cpp
@@ -230,7 +230,7 @@
     control.tick();
     const TimePoint until = control.endpointUpdatesUntil();
     CHECK(until > clock.now());
-    clock.advance(seconds(10)); // All timers fire late.
+    clock.advance(seconds(10)); // All timers are overdue.
     CHECK(until < clock.now());
     control.tick();
     CHECK(control.endpointUpdatesUntil() < clock.now());
--- a/unittests/Kernel/coldstarttest.cpp
+++ b/unittests/Kernel/coldstarttest.cpp
@@ -126,9 +126,9 @@
 {
     std::vector<Resource> resources = coldConfiguration(3, {"engine-1"});
     endpointIn(resources, "engine-0").coldFor.reset();
-    const Snapshot nothing;
+    const Snapshot emptySnapshot;
     const auto snapshot = buildSnapshot(resources, 1, "dc1", nullptr);
-    recordColdStarts(*snapshot, nothing, TimePoint(seconds(9)), {});
+    recordColdStarts(*snapshot, emptySnapshot, TimePoint(seconds(9)), {});
     CHECK(!isCold(*snapshot->endpoint("engine-0"), TimePoint(seconds(9))));
     CHECK(isCold(*snapshot->endpoint("engine-1"), TimePoint(seconds(9))));
 }
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -168,7 +168,7 @@
     ProxiedFixture fixture;
     for (int i = 0; i < 3; ++i) {
         const EndpointEntry &engine = *fixture.snapshot->endpoint(fmt::format("engine-{}", i));
-        engine.load->limit = 0; // All endpoints are full.
+        engine.load->concurrencyLimit = 0; // All endpoints are full.
     }
     fixture.arrive("/read/1");
     LONGS_EQUAL(0, fixture.answers.size());
--- a/unittests/Kernel/quarantinetest.cpp
+++ b/unittests/Kernel/quarantinetest.cpp
@@ -110,7 +110,7 @@
     // No endpoint is available, so the request is queued.
     fixture.snapshot = buildSnapshot(proxiedConfiguration(1), 1, "dc1", nullptr);
     for (const auto &endpoint : fixture.snapshot->pool("engines")->endpoints) {
-        endpoint.load->limit.store(0);
+        endpoint.load->concurrencyLimit.store(0);
     }
     fixture.arrive("/record/1");
     LONGS_EQUAL(0, fixture.sends.size());
