--- a/include/harelink/Kernel/proxied.h
+++ b/include/harelink/Kernel/proxied.h
@@ -23,7 +23,7 @@
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
 /// A segment of a prompt; other prompts may share the same leading segments.
-struct PromptPart
+struct PromptSegment
 {
     std::string id;
     std::uint64_t tokens = 0;
@@ -42,8 +42,8 @@
     std::string apiKey; ///< Empty if absent.
 
     std::string model;
-    std::vector<PromptPart>
-        prompt; ///< In order; only the last segment is specific to this request.
+    /// In order; only the last segment is specific to this request.
+    std::vector<PromptSegment> prompt;
     std::uint64_t promptTokens = 0;
     std::uint64_t maxAnswerTokens = 0;
 
--- a/include/harelink/Kernel/requestadmissionimpl.h
+++ b/include/harelink/Kernel/requestadmissionimpl.h
@@ -35,7 +35,7 @@
 /// Returns the predicted time of all stages of a new request including queueing. The queues of
 /// later stages advance while the request is at an earlier one.
 template <GuardPolicy G>
-Duration BasicRequestMachine<G>::timeWithWaits(const Request &request, const Snapshot &snapshot)
+Duration BasicRequestMachine<G>::timeWithQueueing(const Request &request, const Snapshot &snapshot)
 {
     Duration total{};
     for (const StageSpec &stage : request.pipeline.stages) {
@@ -63,8 +63,8 @@
     if (pool == nullptr || state.demand.size() == 0) {
         return {};
     }
-    // The lower bound assumes that this worker has its full share of the pool; the measured
-    // pace of its queue is more accurate.
+    // The lower bound assumes that this daemon has the pool to itself; the measured pace of the
+    // queue is more accurate.
     const int slots = std::max(1, pool->totalSlots);
     const Duration atBest =
         state.latency.median(m_clock.now(), request.bytes()) * m_limits.workers / slots;
--- a/include/harelink/Kernel/requestanswersimpl.h
+++ b/include/harelink/Kernel/requestanswersimpl.h
@@ -196,10 +196,10 @@
 void BasicRequestMachine<G>::handle(const RequestSuspected &event, const Snapshot &snapshot)
 {
     (void)snapshot;
-    if (m_suspects.size() >= requestmachine::maxSuspects) {
-        m_suspects.clear();
+    if (m_suspectDigests.size() >= requestmachine::maxSuspects) {
+        m_suspectDigests.clear();
     }
-    m_suspects.insert(event.digest);
+    m_suspectDigests.insert(event.digest);
 }
 
 /// Records and reports the endpoint notice in an answer to the call in progress.
@@ -346,10 +346,10 @@
 template <GuardPolicy G>
 void BasicRequestMachine<G>::answer(Request &request, AnswerCaller &&action)
 {
-    dropPieces(request);
+    cancelPieces(request);
     m_lateAdmissions -= request.isAdmittedLate ? 1 : 0;
     if (action.outcome == Outcome::Completed && !action.replayed
-        && m_suspects.erase(request.digest) > 0) {
+        && m_suspectDigests.erase(request.digest) > 0) {
         m_actions.emplace_back(RequestCleared{request.digest});
     }
     action.id = request.id;
--- a/include/harelink/Kernel/requestdigest.h
+++ b/include/harelink/Kernel/requestdigest.h
@@ -18,8 +18,8 @@
 struct RequestArrived;
 
 /// Returns the digest of \p request sent by \p account. It is the same at every daemon for
-/// requests with the same method, target, account and body. The account is included because
-/// the hash is not cryptographic: no account can produce the digest of another account.
+/// requests with the same method, target, account and body. The account is included
+/// so that no account can produce the digest of another: the hash is not cryptographic.
 [[nodiscard]] Hash128 digestOf(const RequestArrived &request, const std::string &account);
 
 } // namespace harelink
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -78,9 +78,9 @@
         const EndpointEntry *avoid =
             request.endpoint.empty() ? nullptr : pool->find(request.endpoint);
         const PromptInfo prompt = promptInfo(request);
-        const PromptInfo *promptOrNull = pool->spec.engine && prompt.tokens > 0 ? &prompt : nullptr;
+        const PromptInfo *enginePrompt = pool->spec.engine && prompt.tokens > 0 ? &prompt : nullptr;
         const EndpointEntry *endpoint = chooseEndpoint(
-            {*pool, now, preferredEndpoint(request, *pool), avoid, promptOrNull, &regions},
+            {*pool, now, preferredEndpoint(request, *pool), avoid, enginePrompt, &regions},
             snapshot);
         if (endpoint == nullptr && unavailableUntil(*pool, regions, now)) {
             if (hasSendSlot(request, snapshot, waitingForSlot.size())) {
@@ -118,10 +118,10 @@
         state.pace.recordUnreachable(now);
         return;
     }
-    const bool isOpen =
+    const bool hasAvailableEndpoint =
         std::any_of(pool.endpoints.begin(), pool.endpoints.end(),
                     [now](const EndpointEntry &endpoint) { return acceptsCalls(endpoint, now); });
-    if (isOpen) {
+    if (hasAvailableEndpoint) {
         state.pace.recordFull(now);
     } else {
         state.pace.recordUnavailable();
@@ -284,7 +284,7 @@
     if (request.proxied) {
         // The last segment is specific to this request; the one before it ends the longest
         // prefix shared with other requests.
-        const std::vector<PromptPart> &parts = request.proxied->prompt;
+        const std::vector<PromptSegment> &parts = request.proxied->prompt;
         const bool hasAffinity =
             parts.size() >= 2
             && request.proxied->sharedTokens() >= requestmachine::minAffinityTokens;
--- a/include/harelink/Kernel/requestmachine.h
+++ b/include/harelink/Kernel/requestmachine.h
@@ -334,12 +334,12 @@
     void releasePromptTokens(Request &request, const Snapshot &snapshot);
     static std::string dataCentreOf(const std::string &endpoint, const Snapshot &snapshot);
     PromptInfo promptInfo(const Request &request);
-    void dropPieces(Request &request);
+    void cancelPieces(Request &request);
     void releaseResults(Request &request);
     void handleLostResults(Request &request, const Snapshot &snapshot);
     bool mayRetryProxied(const Request &request, SendEvidence evidence);
     RetryBudget &retryBudget(const std::string &pool);
-    [[nodiscard]] int daemons() const;
+    [[nodiscard]] int daemonCount() const;
     bool fitsDeadline(const Request &request, Duration needed);
     static FairQueue::Waiter queueKey(const Request &request);
     void enqueue(Request &request, const Snapshot &snapshot);
@@ -376,7 +376,7 @@
     void settleCall(Request &request, const Snapshot &snapshot);
     Outcome outcomeOfFailure(const Request &request) const;
     Duration remainingTime(const Request &request);
-    Duration timeWithWaits(const Request &request, const Snapshot &snapshot);
+    Duration timeWithQueueing(const Request &request, const Snapshot &snapshot);
     QueueForecast queueForecast(const Request &request, const StageSpec &stage,
                                 const Snapshot &snapshot);
     Duration queueWait(const Request &request, const StageSpec &stage, const Snapshot &snapshot);
@@ -384,7 +384,7 @@
     void recordStall(PoolState &state, const PoolEntry &pool);
     void countDemand(Request &request, std::uint32_t from);
     Duration retryAfter(const Request &request, const Snapshot &snapshot);
-    void expire(Request &request, const Snapshot &snapshot);
+    void handleTimeout(Request &request, const Snapshot &snapshot);
     void schedule(const Request &request, TimePoint at);
     void detectSuspension();
     void recordTimedOutCall(const Request &request, const Snapshot &snapshot);
@@ -407,10 +407,11 @@
     std::map<std::string, std::unique_ptr<PoolState>> m_pools;
     using Timer = std::pair<TimePoint, std::uint64_t>;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
-    absl::flat_hash_set<std::uint64_t>
-        m_unawaitedClaims; // Requests answered while they waited for a claim.
+    // Requests answered while they waited for a claim.
+    absl::flat_hash_set<std::uint64_t> m_unawaitedClaims;
     std::deque<std::pair<TimePoint, std::uint64_t>> m_unawaitedClaimOrder;
-    absl::flat_hash_set<Hash128> m_suspects; ///< Digests whose next completion is to be reported.
+    absl::flat_hash_set<Hash128>
+        m_suspectDigests; ///< Digests whose next completion is to be reported.
     std::vector<RequestAction> m_actions;
     RequestCounters m_counters;
 };
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -218,7 +218,7 @@
              snapshot);
         return;
     }
-    const Duration needed = timeWithWaits(request, snapshot);
+    const Duration needed = timeWithQueueing(request, snapshot);
     if (!fitsDeadline(request, needed)) {
         fail(request, Reason::CannotFinish,
              makeError(absl::StatusCode::kDeadlineExceeded, "admission", "",
@@ -253,7 +253,7 @@
         m_timers.pop();
         const auto found = m_requests.find(sequence);
         if (found != m_requests.end()) {
-            expire(*found->second, snapshot);
+            handleTimeout(*found->second, snapshot);
         }
     }
     while (!m_unawaitedClaimOrder.empty()
@@ -269,7 +269,7 @@
 }
 
 template <GuardPolicy G>
-void BasicRequestMachine<G>::expire(Request &request, const Snapshot &snapshot)
+void BasicRequestMachine<G>::handleTimeout(Request &request, const Snapshot &snapshot)
 {
     const TimePoint now = m_clock.now();
     const bool unprepared =
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -139,7 +139,7 @@
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
     const std::vector<std::uint32_t> &counts = request.proxied->pieceCounts;
-    const std::string wantedAt = preferredResultDataCentre(request, snapshot);
+    const std::string resultsDataCentre = preferredResultDataCentre(request, snapshot);
     std::vector<Duration> times(stages.size(), Duration::zero());
     for (std::size_t i = 0; i < stages.size(); ++i) {
         const std::uint32_t count = i < counts.size() ? counts[i] : 0;
@@ -150,11 +150,11 @@
         PieceGroup group;
         group.count = count;
         group.priority = request.priority;
-        group.transfers.resultsDataCentre = wantedAt;
+        group.transfers.resultsDataCentre = resultsDataCentre;
         group.selectionHash =
             PieceGroup::selectionHashOf(request.id, static_cast<std::uint32_t>(i));
-        const PoolEntry &part = choosePartition(snapshot, *pool, group, m_clock.now());
-        times[i] = predictCompletion(part, count, request.priority, m_clock.now());
+        const PoolEntry &partition = choosePartition(snapshot, *pool, group, m_clock.now());
+        times[i] = predictCompletion(partition, count, request.priority, m_clock.now());
     }
     return times;
 }
@@ -166,17 +166,17 @@
 {
     const std::vector<PieceStageSpec> &stages = request.pipeline.route->pieceStages;
     const std::vector<Duration> times = stageTimes(request, snapshot);
-    std::vector<Duration> doneAt(stages.size(), Duration::zero());
-    Duration last{};
+    std::vector<Duration> completedAt(stages.size(), Duration::zero());
+    Duration allCompletedAt{};
     for (std::size_t i = 0; i < stages.size(); ++i) {
-        Duration begin{};
+        Duration startAt{};
         for (const std::uint32_t before : stages[i].after) {
-            begin = std::max(begin, doneAt[before]);
+            startAt = std::max(startAt, completedAt[before]);
         }
-        doneAt[i] = begin + times[i];
-        last = std::max(last, doneAt[i]);
+        completedAt[i] = startAt + times[i];
+        allCompletedAt = std::max(allCompletedAt, completedAt[i]);
     }
-    return last;
+    return allCompletedAt;
 }
 
 /// Returns the predicted time from the send of the request itself to its answer or first event.
@@ -237,11 +237,11 @@
             return false;
         }
     }
-    const double part = requestmachine::maxLateAdmissions / daemons();
-    if (part >= 1) {
-        return static_cast<double>(m_lateAdmissions + 1) <= part;
+    const double share = requestmachine::maxLateAdmissions / daemonCount();
+    if (share >= 1) {
+        return static_cast<double>(m_lateAdmissions + 1) <= share;
     }
-    return m_lateAdmissions == 0 && m_random.unit() < part;
+    return m_lateAdmissions == 0 && m_random.unit() < share;
 }
 
 /// Returns whether the request is admitted: either in time for its objective, or late in
@@ -259,9 +259,9 @@
     }
     request.predicted = forecast(request, snapshot);
     const TimePoint now = request.arrivedAt;
-    const auto cautious =
+    const auto withMargin =
         std::chrono::duration_cast<Duration>(request.predicted * requestmachine::admissionMargin);
-    if (now + cautious <= request.objectiveAt) {
+    if (now + withMargin <= request.objectiveAt) {
         return true;
     }
     const Duration left = request.preparationDeadline - now;
@@ -346,24 +346,24 @@
     const TimePoint now = m_clock.now();
     const std::string dataCentre = preferredResultDataCentre(request, snapshot);
     std::map<std::uint32_t, OrderPieces> byStage;
-    for (const PieceIndex place : request.pieces->scheduleReady(stageTimes(request, snapshot))) {
+    for (const PieceIndex index : request.pieces->scheduleReady(stageTimes(request, snapshot))) {
         PieceOrder order;
-        order.id = {request.id, place.stage, place.piece};
+        order.id = {request.id, index.stage, index.piece};
         order.callerId = request.proxied->callerId;
         order.digest = request.digest;
-        order.inputs = request.pieces->inputsOf(place.stage);
+        order.inputs = request.pieces->inputsOf(index.stage);
         if (order.inputs.empty()) {
             order.key = request.proxied->pieceKey;
         }
         std::tie(order.inputsDataCentre, order.inputBytes) =
-            request.pieces->mainInputDataCentre(place.stage);
+            request.pieces->mainInputDataCentre(index.stage);
         order.priority = request.priority;
         order.untilObjective = request.objectiveAt - now;
         order.untilDeadline = request.preparationDeadline - now;
         order.dataCentre = dataCentre;
-        order.resultBytes = request.pipeline.route->pieceStages[place.stage].resultBytes;
-        OrderPieces &action = byStage[place.stage];
-        action.pool = request.pieces->poolOf(place.stage);
+        order.resultBytes = request.pipeline.route->pieceStages[index.stage].resultBytes;
+        OrderPieces &action = byStage[index.stage];
+        action.pool = request.pieces->poolOf(index.stage);
         action.orders.push_back(std::move(order));
     }
     for (auto &[stage, action] : byStage) {
@@ -402,10 +402,10 @@
         }
         return;
     }
-    const PieceIndex place{outcome.id.stage, outcome.id.piece};
+    const PieceIndex index{outcome.id.stage, outcome.id.piece};
     switch (outcome.fault) {
     case PieceFault::None:
-        if (!request->pieces->markCompleted(place, outcome.handle,
+        if (!request->pieces->markCompleted(index, outcome.handle,
                                             dataCentreOf(outcome.endpoint, snapshot))) {
             m_actions.emplace_back(FreeResults{{outcome.handle}});
             return;
@@ -414,8 +414,8 @@
     case PieceFault::InputGone:
         if (request->recomputations < requestmachine::maxRecomputations) {
             ++request->recomputations;
-            request->pieces->reschedule(place);
-            request->pieces->recomputeInputs(place.stage);
+            request->pieces->reschedule(index);
+            request->pieces->recomputeInputs(index.stage);
             break;
         }
         [[fallthrough]];
@@ -448,7 +448,7 @@
 
 /// Cancels the ordered pieces and releases their results.
 template <GuardPolicy G>
-void BasicRequestMachine<G>::dropPieces(Request &request)
+void BasicRequestMachine<G>::cancelPieces(Request &request)
 {
     if (!request.pieces) {
         return;
@@ -552,7 +552,7 @@
 }
 
 template <GuardPolicy G>
-int BasicRequestMachine<G>::daemons() const
+int BasicRequestMachine<G>::daemonCount() const
 {
     const int known =
         m_limits.daemons == nullptr ? 1 : m_limits.daemons->load(std::memory_order_relaxed);
@@ -579,7 +579,7 @@
     if (request.deliveredSends == 0) {
         return true;
     }
-    return retryBudget(request.stageSpec().pool).allows(m_clock.now(), daemons());
+    return retryBudget(request.stageSpec().pool).allows(m_clock.now(), daemonCount());
 }
 
 } // namespace harelink
