--- a/include/harelink/Kernel/configgossipimpl.h
+++ b/include/harelink/Kernel/configgossipimpl.h
@@ -158,7 +158,7 @@
     digest.reply = reply;
     if (detailed) {
         for (const auto &[key, entry] : m_table.entries()) {
-            digest.entries.push_back({key.first, key.second, entry.seen});
+            digest.entries.push_back({key.first, key.second, entry.seenVersion});
         }
     }
     return digest;
@@ -181,8 +181,9 @@
     ConfigPush push;
     for (const auto &[key, entry] : m_table.entries()) {
         const auto found = peerVersions.find(key);
-        if (found == peerVersions.end() || found->second < entry.seen) {
-            push.objects.push_back({key.first, key.second, entry.seen, entry.deleted, entry.value});
+        if (found == peerVersions.end() || found->second < entry.seenVersion) {
+            push.objects.push_back(
+                {key.first, key.second, entry.seenVersion, entry.deleted, entry.value});
         }
     }
     if (!push.objects.empty()) {
@@ -191,7 +192,7 @@
     const bool isBehind =
         std::any_of(peerVersions.begin(), peerVersions.end(), [this](const auto &peer) {
             const auto own = m_table.entries().find(peer.first);
-            return own == m_table.entries().end() || own->second.seen < peer.second;
+            return own == m_table.entries().end() || own->second.seenVersion < peer.second;
         });
     if (isBehind && !peerDigest.reply) {
         send(host, digest(true, true));
--- a/include/harelink/Kernel/configmachine.h
+++ b/include/harelink/Kernel/configmachine.h
@@ -36,12 +36,12 @@
 /// The state of one declared object at a daemon.
 struct ConfigEntry
 {
-    Version seen = 0; ///< The highest version received.
+    Version seenVersion = 0; ///< The highest version received.
     bool deleted = false;
-    std::string value;               ///< Of the version seen.
+    std::string value;               ///< Of seenVersion.
     Version inForce = 0;             ///< The version that is applied; 0 for none.
     std::vector<Resource> resources; ///< The resources in force.
-    std::string fault;               ///< Why the version seen is not in force; empty if it is.
+    std::string fault;               ///< Why seenVersion is not in force; empty if it is.
     WallTime latestStartedAt;        ///< Of an endpoint: start of the latest incarnation seen.
 };
 
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -63,14 +63,14 @@
     const auto [found, isNew] = m_entries.try_emplace(key);
     ConfigEntry &entry = found->second;
     if (isNew) {
-        m_summary += hashOf(key, entry.seen);
+        m_summary += hashOf(key, entry.seenVersion);
     }
-    if (G::dropsStaleUpdates && update.version <= entry.seen) {
-        m_droppedUpdates += update.version < entry.seen ? 1 : 0;
+    if (G::dropsStaleUpdates && update.version <= entry.seenVersion) {
+        m_droppedUpdates += update.version < entry.seenVersion ? 1 : 0;
         return false;
     }
-    m_summary += hashOf(key, update.version) - hashOf(key, entry.seen);
-    entry.seen = update.version;
+    m_summary += hashOf(key, update.version) - hashOf(key, entry.seenVersion);
+    entry.seenVersion = update.version;
     entry.deleted = update.deleted;
     entry.value = update.value;
     const std::string faultBefore = std::exchange(entry.fault, {});
@@ -98,7 +98,7 @@
 {
     const bool changed = !entry.resources.empty();
     entry.resources.clear();
-    entry.inForce = entry.seen;
+    entry.inForce = entry.seenVersion;
     return changed;
 }
 
@@ -159,13 +159,13 @@
     std::vector<PlatformObject> deletions;
     for (const auto &[key, entry] : m_entries) {
         const bool isOfKinds = std::find(kinds.begin(), kinds.end(), key.first) != kinds.end();
-        if (!isOfKinds || listed.contains(key) || entry.deleted || entry.seen > revision) {
+        if (!isOfKinds || listed.contains(key) || entry.deleted || entry.seenVersion > revision) {
             continue;
         }
         PlatformObject deletion;
         deletion.kind = key.first;
         deletion.name = key.second;
-        deletion.version = std::max(revision, entry.seen + 1);
+        deletion.version = std::max(revision, entry.seenVersion + 1);
         deletion.deleted = true;
         deletions.push_back(std::move(deletion));
     }
@@ -298,7 +298,7 @@
     recordPlatformAnswer(true);
     m_backOff = configwatcher::firstBackOff;
     if (m_listing && result.more && result.objects.empty()) {
-        // There is no name to continue from, and a restarted listing could do the same again.
+        // There is no name to continue from, and listing from the start may yield the same again.
         backOff();
         return false;
     }
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -793,7 +793,7 @@
         }
         for (const auto &[key, entry] : m_machine.config().entries()) {
             nlohmann::json &object = status["objects"][key.first + "/" + key.second];
-            object["seen"] = entry.seen;
+            object["seen"] = entry.seenVersion;
             object["inForce"] = entry.inForce;
             object["deleted"] = entry.deleted;
             object["fault"] = entry.fault;
--- a/lib/Kernel/quarantinepublisher.cpp
+++ b/lib/Kernel/quarantinepublisher.cpp
@@ -106,7 +106,7 @@
     const auto previous = declared.find({m_kind, call.name});
     // Replaces an expired quarantine that was not removed yet.
     call.ifVersion =
-        previous == declared.end() || previous->second.deleted ? 0 : previous->second.seen;
+        previous == declared.end() || previous->second.deleted ? 0 : previous->second.seenVersion;
     decision.callId = call.id;
     calls.push_back(std::move(call));
 }
@@ -139,7 +139,7 @@
         call.operation = PlatformOperation::Delete;
         call.kind = m_kind;
         call.name = key.second;
-        call.ifVersion = entry.seen;
+        call.ifVersion = entry.seenVersion;
         calls.push_back(std::move(call));
         ++removed;
     }
--- a/unittests/Kernel/configgossiptest.cpp
+++ b/unittests/Kernel/configgossiptest.cpp
@@ -78,7 +78,7 @@
     {
         int count = 0;
         for (const auto &host : m_hosts) {
-            count += host->table.entries().begin()->second.seen == version ? 1 : 0;
+            count += host->table.entries().begin()->second.seenVersion == version ? 1 : 0;
         }
         return count;
     }
