--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -268,6 +268,7 @@
     }
 }
 
+/// Fails a request that is due or can no longer meet its deadline; else reschedules its timer.
 template <GuardPolicy G>
 void BasicRequestMachine<G>::handleTimeout(Request &request, const Snapshot &snapshot)
 {
--- a/unittests/Kernel/proxiedtest.cpp
+++ b/unittests/Kernel/proxiedtest.cpp
@@ -311,8 +311,7 @@
 
 TEST(Proxied, LateAdmissionsDoNotGrowWithTheNumberOfDaemons)
 {
-    // With ten times the limit's number of daemons, each admits a late request with
-    // probability one in ten.
+    // At 360 daemons, each admits a late request with a probability of one in ten.
     const auto admittedLate = [](int daemons) {
         int admitted = 0;
         for (int daemon = 0; daemon < 40; ++daemon) {
