--- a/include/harelink/Daemon/callerapi.h
+++ b/include/harelink/Daemon/callerapi.h
@@ -37,13 +37,13 @@
 [[nodiscard]] HttpReply makeCallerReply(const AnswerCaller &answer);
 
 /// The first part of a reply in parts, which carries \p piece.
-[[nodiscard]] HttpReply makeStreamBegin(const StreamChunk &piece);
+[[nodiscard]] HttpReply makeFirstStreamChunk(const StreamChunk &piece);
 /// A further part.
-[[nodiscard]] HttpReply makeStreamPart(const StreamChunk &piece);
+[[nodiscard]] HttpReply makeStreamChunk(const StreamChunk &piece);
 /// The last part. Its event carries the outcome: an answer without it is not whole.
 [[nodiscard]] HttpReply makeStreamEnd(const AnswerCaller &answer);
 /// The whole of a completed answer as events, where nothing came in parts.
-[[nodiscard]] HttpReply makeStreamOfWhole(const AnswerCaller &answer);
+[[nodiscard]] HttpReply makeCompleteStream(const AnswerCaller &answer);
 
 /// The reply to a request that never became one: an "application/problem+json".
 ///
--- a/include/harelink/Daemon/control.h
+++ b/include/harelink/Daemon/control.h
@@ -42,10 +42,10 @@
     /// Where what concerns a request goes; called on the control's thread.
     struct WorkerSink
     {
-        std::function<void(ClaimDecision)> decided;
+        std::function<void(ClaimDecision)> claimDecided;
         std::function<void(PieceEnded)> pieceEnded;
         std::function<void(const std::string &)> endpointEnded; ///< For all workers.
-        std::function<void(RequestSuspected)> suspected;        ///< For all workers.
+        std::function<void(RequestSuspected)> requestSuspected; ///< For all workers.
     };
 
     /// All references outlive the control.
@@ -60,32 +60,32 @@
     absl::Status start();
     void stop();
     /// Takes in a claim request of a worker; from any thread.
-    void request(const ClaimRequest &request);
+    void handleClaimRequest(const ClaimRequest &request);
     /// Takes in how a claimant ended; from any thread.
-    void finish(const ClaimFinish &finish);
+    void handleClaimFinish(const ClaimFinish &finish);
     /// Takes in a worker's wishes as to pieces; from any thread.
-    void order(const OrderPieces &order);
-    void withdraw(const WithdrawPieces &withdrawal);
-    void free(const FreeResults &results);
+    void submitPieces(const OrderPieces &order);
+    void withdrawPieces(const WithdrawPieces &withdrawal);
+    void freeResults(const FreeResults &results);
     /// Another endpoint answered at the address of this one; from any thread.
-    void replaced(const EndpointReplaced &replaced);
+    void handleEndpointReplaced(const EndpointReplaced &replaced);
     /// Asks an endpoint whether it is cold; from any thread.
     void checkColdState(const CheckColdState &check);
     /// An endpoint's answer said something of the endpoint; from any thread.
-    void noticed(const EndpointNoticed &event);
+    void handleEndpointNoticed(const EndpointNoticed &event);
     /// Takes in a call that broke; from any thread.
-    void broken(const BrokenCall &call);
+    void handleBrokenCall(const BrokenCall &call);
     /// Takes in that a suspected request was run to a good end; from any thread.
-    void cleared(const RequestCleared &request);
+    void handleRequestCleared(const RequestCleared &request);
     /// A planned stop begins; from any thread.
     void leave();
     /// Calls \p take with whether nothing waits any more, on the control's thread
     /// and behind all that was handed in before.
-    void askIdle(std::function<void(bool)> take);
+    void queryIdle(std::function<void(bool)> take);
     /// Calls \p take with Prometheus text, on the control's thread.
-    void report(std::function<void(std::string)> take);
+    void collectMetrics(std::function<void(std::string)> take);
     /// Calls \p take with the status as JSON, on the control's thread.
-    void status(std::function<void(std::string)> take);
+    void collectStatus(std::function<void(std::string)> take);
     /// Whether a configuration is in force; from any thread.
     [[nodiscard]] bool ready() const { return m_ready; }
     /// The port for peers, after start().
@@ -100,7 +100,7 @@
     void takePieceMessage(const PeerMessage &message);
     void sendTo(const std::string &host, decltype(PeerMessage::content) content);
     void callPieces(const PieceCall &call);
-    void freeResults(const std::vector<std::string> &handles);
+    void sendFreeRequests(const std::vector<std::string> &handles);
     std::vector<PromptBacklog> ownPrompts();
     void noteReplaced(const std::string &endpoint);
     void handleNotice(const EndpointNoticed &event);
--- a/include/harelink/Daemon/worker.h
+++ b/include/harelink/Daemon/worker.h
@@ -44,16 +44,16 @@
     /// Where what concerns the control goes; called on the worker's thread.
     struct ControlSink
     {
-        std::function<void(ClaimRequest)> request;
-        std::function<void(ClaimFinish)> finish;
-        std::function<void(OrderPieces)> order;
-        std::function<void(WithdrawPieces)> withdraw;
-        std::function<void(FreeResults)> free;
-        std::function<void(EndpointReplaced)> replaced;
+        std::function<void(ClaimRequest)> requestClaim;
+        std::function<void(ClaimFinish)> finishClaim;
+        std::function<void(OrderPieces)> orderPieces;
+        std::function<void(WithdrawPieces)> withdrawPieces;
+        std::function<void(FreeResults)> freeResults;
+        std::function<void(EndpointReplaced)> endpointReplaced;
         std::function<void(CheckColdState)> checkColdState;
-        std::function<void(BrokenCall)> broken;
-        std::function<void(RequestCleared)> cleared;
-        std::function<void(const EndpointNoticed &)> noticed;
+        std::function<void(BrokenCall)> callBroken;
+        std::function<void(RequestCleared)> requestCleared;
+        std::function<void(const EndpointNoticed &)> endpointNoticed;
     };
 
     /// All references outlive the worker.
@@ -67,15 +67,15 @@
     /// Takes in a caller's request; from any thread. \p responder is called once.
     void submit(CallerRequest request, const Responder &responder);
     /// Takes in the decision on a claim; from any thread.
-    void decide(ClaimDecision decision);
+    void handleClaimDecision(ClaimDecision decision);
     /// Takes in what became of a piece; from any thread.
-    void pieceEnded(PieceEnded event);
+    void handlePieceEnded(PieceEnded event);
     /// Takes in that an endpoint's life is over; from any thread.
-    void endpointEnded(const std::string &endpoint);
+    void handleEndpointEnded(const std::string &endpoint);
     /// Takes in that an endpoint ended under such a request; from any thread.
-    void suspected(const RequestSuspected &event);
+    void handleSuspectedRequest(const RequestSuspected &event);
     /// The callers' connection \p connection ended; from any thread.
-    void connectionClosed(std::uint64_t connection);
+    void handleConnectionClosed(std::uint64_t connection);
     /// From now on replies ask callers to open another connection; from any thread.
     void closeConnections();
     /// Refuses new requests from now on; from any thread.
@@ -83,7 +83,7 @@
     /// Answers all that is in progress at once; from any thread.
     void abandonAll();
     /// Calls \p take with a report, on the worker's thread.
-    void report(std::function<void(WorkerReport)> take);
+    void collectReport(std::function<void(WorkerReport)> take);
     /// Ends the thread.
     void stop();
 
--- a/include/harelink/Support/log.h
+++ b/include/harelink/Support/log.h
@@ -5,7 +5,7 @@
 /// fixed prefix of the part that speaks. A request's content is never logged.
 ///
 /// Writing never blocks: where the reader of a pipe is slow, lines are dropped, and
-/// where they come faster than mostLinesPerSecond, as under a burst of refusals, the
+/// where they come faster than maxLogLinesPerSecond, as under a burst of refusals, the
 /// rest is dropped too. A later line tells how many.
 ///
 //===----------------------------------------------------------------------===//
@@ -25,7 +25,7 @@
 
 /// Lines of one process within a second; warnings and errors may take twice as many.
 /// At 250 bytes a line it bounds the volume to 75 kB a second.
-inline constexpr int mostLinesPerSecond = 300;
+inline constexpr int maxLogLinesPerSecond = 300;
 
 /// Lines below \p level are dropped from now on; the default is Info.
 void setLogLevel(LogLevel level);
--- a/include/harelink/Support/logsearch.h
+++ b/include/harelink/Support/logsearch.h
@@ -18,10 +18,10 @@
 /// One line of a log.
 struct LogLine
 {
-    std::string source; ///< The file, or the host where the line itself begins with one.
-    std::string time;   ///< As written, which sorts as time does; of the source's own clock.
-    std::string text;   ///< The fields behind the time.
-    bool isOwn = false; ///< Names the request.
+    std::string source;        ///< The file, or the host where the line itself begins with one.
+    std::string time;          ///< As written, which sorts as time does; of the source's own clock.
+    std::string text;          ///< The fields behind the time.
+    bool namesRequest = false; ///< Names the request.
 };
 
 /// Collects the lines that concern one request.
--- a/lib/Daemon/callerapi.cpp
+++ b/lib/Daemon/callerapi.cpp
@@ -166,16 +166,16 @@
     return reply;
 }
 
-HttpReply makeStreamBegin(const StreamChunk &piece)
+HttpReply makeFirstStreamChunk(const StreamChunk &piece)
 {
-    HttpReply reply = makeStreamPart(piece);
+    HttpReply reply = makeStreamChunk(piece);
     reply.contentType = std::string(eventStreamType);
     reply.headers.emplace_back("Cache-Control", "no-store");
     reply.headers.emplace_back("Harelink-Request-Id", toText(piece.id));
     return reply;
 }
 
-HttpReply makeStreamPart(const StreamChunk &piece)
+HttpReply makeStreamChunk(const StreamChunk &piece)
 {
     const nlohmann::json data = {{"token", piece.firstToken}, {"text", piece.text}};
     HttpReply reply;
@@ -201,7 +201,7 @@
     return reply;
 }
 
-HttpReply makeStreamOfWhole(const AnswerCaller &answer)
+HttpReply makeCompleteStream(const AnswerCaller &answer)
 {
     HttpReply reply = makeCallerReply(answer);
     const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -150,7 +150,7 @@
     }
 }
 
-void Control::request(const ClaimRequest &request)
+void Control::handleClaimRequest(const ClaimRequest &request)
 {
     m_loop.post([this, request] {
         m_machine.handle(request);
@@ -158,7 +158,7 @@
     });
 }
 
-void Control::finish(const ClaimFinish &finish)
+void Control::handleClaimFinish(const ClaimFinish &finish)
 {
     m_loop.post([this, finish] {
         m_machine.handle(finish);
@@ -166,7 +166,7 @@
     });
 }
 
-void Control::order(const OrderPieces &order)
+void Control::submitPieces(const OrderPieces &order)
 {
     m_loop.post([this, order] {
         m_pieceRouter.submit(order.pool, order.orders, m_snapshot.current());
@@ -174,7 +174,7 @@
     });
 }
 
-void Control::withdraw(const WithdrawPieces &withdrawal)
+void Control::withdrawPieces(const WithdrawPieces &withdrawal)
 {
     m_loop.post([this, withdrawal] {
         m_pieceRouter.withdraw(withdrawal.id);
@@ -182,7 +182,7 @@
     });
 }
 
-void Control::free(const FreeResults &results)
+void Control::freeResults(const FreeResults &results)
 {
     m_loop.post([this, results] {
         m_pieceRouter.free(results.handles, m_snapshot.current());
@@ -233,7 +233,7 @@
     }
 }
 
-void Control::replaced(const EndpointReplaced &replaced)
+void Control::handleEndpointReplaced(const EndpointReplaced &replaced)
 {
     m_loop.post([this, replaced] {
         noteReplaced(replaced.endpoint);
@@ -247,7 +247,7 @@
     m_machine.handleEndpointLeaving(endpoint);
 }
 
-void Control::noticed(const EndpointNoticed &event)
+void Control::handleEndpointNoticed(const EndpointNoticed &event)
 {
     m_loop.post([this, event] {
         handleNotice(event);
@@ -306,7 +306,7 @@
     handleNotice(EndpointNoticed{call.endpoint, *ended.notice, sentAt});
 }
 
-void Control::broken(const BrokenCall &call)
+void Control::handleBrokenCall(const BrokenCall &call)
 {
     m_loop.post([this, call] {
         m_machine.handle(call);
@@ -314,7 +314,7 @@
     });
 }
 
-void Control::cleared(const RequestCleared &request)
+void Control::handleRequestCleared(const RequestCleared &request)
 {
     m_loop.post([this, request] {
         m_machine.handle(request);
@@ -349,7 +349,7 @@
     m_loop.post([this] { m_machine.leave(); });
 }
 
-void Control::askIdle(std::function<void(bool)> take)
+void Control::queryIdle(std::function<void(bool)> take)
 {
     m_loop.post(
         [this, take = std::move(take)] { take(m_machine.idle() && m_pieceBatcher.idle()); });
@@ -378,7 +378,7 @@
                      m_peers.nextFlush()});
 }
 
-void Control::freeResults(const std::vector<std::string> &handles)
+void Control::sendFreeRequests(const std::vector<std::string> &handles)
 {
     if (handles.empty()) {
         return;
@@ -471,7 +471,7 @@
             noteReplaced(endpoint);
         }
     }
-    freeResults(m_pieceBatcher.drainFreedResults());
+    sendFreeRequests(m_pieceBatcher.drainFreedResults());
     for (PieceOutcome &outcome : m_pieceRouter.drainOutcomes()) {
         m_workers.pieceEnded(PieceEnded{std::move(outcome)});
     }
@@ -511,7 +511,7 @@
         m_peers.send(send, m_clock.now());
     }
     for (ClaimDecision &decision : output.decisions) {
-        m_workers.decided(std::move(decision));
+        m_workers.claimDecided(std::move(decision));
     }
     for (const PieceBacklog &backlog : output.backlogs) {
         PieceRouter::handle(backlog, m_snapshot.current(), m_clock.now());
@@ -531,7 +531,7 @@
         probe(next);
     }
     for (const RequestSuspected &suspect : output.suspects) {
-        m_workers.suspected(suspect);
+        m_workers.requestSuspected(suspect);
     }
     for (const QuarantineDecision &decision : output.quarantines) {
         ++m_quarantines;
@@ -727,7 +727,7 @@
     }
 }
 
-void Control::report(std::function<void(std::string)> take)
+void Control::collectMetrics(std::function<void(std::string)> take)
 {
     m_loop.post([this, take = std::move(take)] {
         std::string text;
@@ -776,7 +776,7 @@
     });
 }
 
-void Control::status(std::function<void(std::string)> take)
+void Control::collectStatus(std::function<void(std::string)> take)
 {
     m_loop.post([this, take = std::move(take)] {
         nlohmann::json status;
--- a/lib/Daemon/daemon.cpp
+++ b/lib/Daemon/daemon.cpp
@@ -129,39 +129,51 @@
 {
     assert(m_dialect != nullptr && "the settings were checked against the known dialects");
     Control::WorkerSink workers;
-    workers.decided = [this](ClaimDecision decision) {
+    workers.claimDecided = [this](ClaimDecision decision) {
         const std::uint64_t sequence = decision.claimant.sequence;
-        workerOf(sequence).decide(std::move(decision));
+        workerOf(sequence).handleClaimDecision(std::move(decision));
     };
     workers.pieceEnded = [this](PieceEnded event) {
         const std::uint64_t sequence = event.outcome.id.request.sequence;
-        workerOf(sequence).pieceEnded(std::move(event));
+        workerOf(sequence).handlePieceEnded(std::move(event));
     };
     workers.endpointEnded = [this](const std::string &endpoint) {
         for (const auto &worker : m_workers) {
-            worker->endpointEnded(endpoint);
+            worker->handleEndpointEnded(endpoint);
         }
     };
-    workers.suspected = [this](const RequestSuspected &event) {
+    workers.requestSuspected = [this](const RequestSuspected &event) {
         for (const auto &worker : m_workers) {
-            worker->suspected(event);
+            worker->handleSuspectedRequest(event);
         }
     };
     m_control = std::make_unique<Control>(m_settings, m_clock, m_snapshot, *m_dialect,
                                           m_incarnation, m_liveDaemons, std::move(workers));
     Worker::ControlSink control;
-    control.request = [this](const ClaimRequest &request) { m_control->request(request); };
-    control.finish = [this](const ClaimFinish &finish) { m_control->finish(finish); };
-    control.order = [this](const OrderPieces &order) { m_control->order(order); };
-    control.withdraw = [this](const WithdrawPieces &pieces) { m_control->withdraw(pieces); };
-    control.free = [this](const FreeResults &results) { m_control->free(results); };
-    control.replaced = [this](const EndpointReplaced &endpoint) { m_control->replaced(endpoint); };
+    control.requestClaim = [this](const ClaimRequest &request) {
+        m_control->handleClaimRequest(request);
+    };
+    control.finishClaim = [this](const ClaimFinish &finish) {
+        m_control->handleClaimFinish(finish);
+    };
+    control.orderPieces = [this](const OrderPieces &order) { m_control->submitPieces(order); };
+    control.withdrawPieces = [this](const WithdrawPieces &pieces) {
+        m_control->withdrawPieces(pieces);
+    };
+    control.freeResults = [this](const FreeResults &results) { m_control->freeResults(results); };
+    control.endpointReplaced = [this](const EndpointReplaced &endpoint) {
+        m_control->handleEndpointReplaced(endpoint);
+    };
     control.checkColdState = [this](const CheckColdState &check) {
         m_control->checkColdState(check);
     };
-    control.broken = [this](const BrokenCall &call) { m_control->broken(call); };
-    control.noticed = [this](const EndpointNoticed &event) { m_control->noticed(event); };
-    control.cleared = [this](const RequestCleared &request) { m_control->cleared(request); };
+    control.callBroken = [this](const BrokenCall &call) { m_control->handleBrokenCall(call); };
+    control.endpointNoticed = [this](const EndpointNoticed &event) {
+        m_control->handleEndpointNoticed(event);
+    };
+    control.requestCleared = [this](const RequestCleared &request) {
+        m_control->handleRequestCleared(request);
+    };
     for (int i = 0; i < m_settings.workers; ++i) {
         m_workers.push_back(std::make_unique<Worker>(m_settings, m_clock, m_snapshot, *m_dialect,
                                                      m_incarnation + static_cast<std::uint64_t>(i),
@@ -204,7 +216,7 @@
     options.largestBody = largestCallerBody;
     options.onClosed = [this](std::uint64_t connection) {
         for (const auto &worker : m_workers) {
-            worker->connectionClosed(connection);
+            worker->handleConnectionClosed(connection);
         }
     };
     absl::StatusOr<std::unique_ptr<HttpServer>> callers =
@@ -281,7 +293,7 @@
         return;
     }
     if (request.path == "/v1/status") {
-        m_control->status([responder](std::string status) {
+        m_control->collectStatus([responder](std::string status) {
             HttpReply reply;
             reply.body = std::move(status);
             responder(std::move(reply));
@@ -316,9 +328,9 @@
 {
     auto gatherer = std::make_shared<MetricsGatherer>(m_workers.size() + 1, responder);
     for (const auto &worker : m_workers) {
-        worker->report([gatherer](const WorkerReport &report) { gatherer->add(report); });
+        worker->collectReport([gatherer](const WorkerReport &report) { gatherer->add(report); });
     }
-    m_control->report([gatherer](const std::string &text) { gatherer->add(text); });
+    m_control->collectMetrics([gatherer](const std::string &text) { gatherer->add(text); });
 }
 
 void Daemon::drain()
@@ -335,7 +347,7 @@
     std::size_t inProgress = 0;
     for (const auto &worker : m_workers) {
         std::promise<std::size_t> answer;
-        worker->report(
+        worker->collectReport(
             [&answer](const WorkerReport &report) { answer.set_value(report.inProgress); });
         inProgress += answer.get_future().get();
     }
@@ -344,7 +356,7 @@
     }
     // Asked last, behind the ends of claims that the workers handed over.
     std::promise<bool> settled;
-    m_control->askIdle([&settled](bool idle) { settled.set_value(idle); });
+    m_control->queryIdle([&settled](bool idle) { settled.set_value(idle); });
     return settled.get_future().get();
 }
 
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -128,27 +128,27 @@
     responder(std::move(reply));
 }
 
-void Worker::decide(ClaimDecision decision)
+void Worker::handleClaimDecision(ClaimDecision decision)
 {
     m_loop.post([this, decision = std::move(decision)] { feed(decision); });
 }
 
-void Worker::endpointEnded(const std::string &endpoint)
+void Worker::handleEndpointEnded(const std::string &endpoint)
 {
     m_loop.post([this, endpoint] { feed(EndpointEnded{endpoint}); });
 }
 
-void Worker::suspected(const RequestSuspected &event)
+void Worker::handleSuspectedRequest(const RequestSuspected &event)
 {
     m_loop.post([this, event] { feed(event); });
 }
 
-void Worker::pieceEnded(PieceEnded event)
+void Worker::handlePieceEnded(PieceEnded event)
 {
     m_loop.post([this, event = std::move(event)] { feed(event); });
 }
 
-void Worker::connectionClosed(std::uint64_t connection)
+void Worker::handleConnectionClosed(std::uint64_t connection)
 {
     m_loop.post([this, connection] {
         const auto found = m_byConnection.find(connection);
@@ -197,7 +197,7 @@
     });
 }
 
-void Worker::report(std::function<void(WorkerReport)> take)
+void Worker::collectReport(std::function<void(WorkerReport)> take)
 {
     m_loop.post([this, take = std::move(take)] {
         take({m_metrics, m_machine.counters(), m_machine.inProgress(), m_machine.queued()});
@@ -309,7 +309,7 @@
     } else if (caller.streamBegan) {
         caller.responder(makeStreamEnd(action));
     } else if (caller.wantsStream && action.outcome == Outcome::Completed) {
-        caller.responder(makeStreamOfWhole(action));
+        caller.responder(makeCompleteStream(action));
     } else {
         caller.responder(makeCallerReply(action));
     }
@@ -373,17 +373,17 @@
 
 void Worker::perform(OrderPieces action)
 {
-    m_control.order(std::move(action));
+    m_control.orderPieces(std::move(action));
 }
 
 void Worker::perform(const WithdrawPieces &action)
 {
-    m_control.withdraw(action);
+    m_control.withdrawPieces(action);
 }
 
 void Worker::perform(FreeResults action)
 {
-    m_control.free(std::move(action));
+    m_control.freeResults(std::move(action));
 }
 
 void Worker::perform(const CheckColdState &action)
@@ -393,12 +393,12 @@
 
 void Worker::perform(const EndpointReplaced &action)
 {
-    m_control.replaced(action);
+    m_control.endpointReplaced(action);
 }
 
 void Worker::perform(const EndpointNoticed &action)
 {
-    m_control.noticed(action);
+    m_control.endpointNoticed(action);
 }
 
 void Worker::perform(const BrokenCallReport &action)
@@ -413,12 +413,12 @@
         .field("attempt", action.call.attempt)
         .field("sentMsAgo", fmt::format("{:.1f}", toMilliseconds(sentAgo)))
         .field("events", action.events);
-    m_control.broken(broken);
+    m_control.callBroken(broken);
 }
 
 void Worker::perform(const RequestCleared &action)
 {
-    m_control.cleared(action);
+    m_control.requestCleared(action);
 }
 
 void Worker::perform(const StreamChunk &action)
@@ -426,7 +426,7 @@
     const auto found = m_callers.find(action.id.sequence);
     assert(found != m_callers.end() && "nothing is streamed after the answer's end");
     Caller &caller = found->second;
-    HttpReply part = caller.streamBegan ? makeStreamPart(action) : makeStreamBegin(action);
+    HttpReply part = caller.streamBegan ? makeStreamChunk(action) : makeFirstStreamChunk(action);
     caller.streamBegan = true;
     part.onBroken = [this, id = action.id] { m_loop.post([this, id] { feed(CallerGone{id}); }); };
     caller.responder(std::move(part));
@@ -434,12 +434,12 @@
 
 void Worker::perform(ClaimRequest action)
 {
-    m_control.request(std::move(action));
+    m_control.requestClaim(std::move(action));
 }
 
 void Worker::perform(ClaimFinish action)
 {
-    m_control.finish(std::move(action));
+    m_control.finishClaim(std::move(action));
 }
 
 } // namespace harelink
--- a/lib/Support/log.cpp
+++ b/lib/Support/log.cpp
@@ -59,7 +59,7 @@
     if (countedSecond.exchange(second, std::memory_order_relaxed) != second) {
         linesInSecond.store(0, std::memory_order_relaxed);
     }
-    const int most = level >= LogLevel::Warning ? mostLinesPerSecond * 2 : mostLinesPerSecond;
+    const int most = level >= LogLevel::Warning ? maxLogLinesPerSecond * 2 : maxLogLinesPerSecond;
     return linesInSecond.fetch_add(1, std::memory_order_relaxed) < most;
 }
 
--- a/lib/Support/logsearch.cpp
+++ b/lib/Support/logsearch.cpp
@@ -69,7 +69,7 @@
     found.time = std::string(logField(fields, "time"));
     const std::size_t space = std::min(fields.find(' '), fields.size());
     found.text = std::string(fields.substr(std::min(space + 1, fields.size())));
-    found.isOwn = !request.empty();
+    found.namesRequest = !request.empty();
     m_lines.push_back(std::move(found));
 }
 
@@ -77,7 +77,7 @@
 {
     std::map<std::string, std::pair<std::string, std::string>> spans; // By source.
     for (const LogLine &line : m_lines) {
-        if (!line.isOwn) {
+        if (!line.namesRequest) {
             continue;
         }
         auto &[first, last] = spans.try_emplace(line.source, line.time, line.time).first->second;
@@ -89,7 +89,7 @@
         const auto span = spans.find(line.source);
         const bool isWithin = span != spans.end() && line.time >= span->second.first
                               && line.time <= span->second.second;
-        if (line.isOwn || isWithin) {
+        if (line.namesRequest || isWithin) {
             lines.push_back(line);
         }
     }
--- a/tools/harelink/explaincommand.cpp
+++ b/tools/harelink/explaincommand.cpp
@@ -31,8 +31,9 @@
     }
     bool any = false;
     for (const LogLine &line : search.found()) {
-        any = any || line.isOwn;
-        fmt::print("{} {} {} {}\n", line.isOwn ? '*' : ' ', line.time, line.source, line.text);
+        any = any || line.namesRequest;
+        fmt::print("{} {} {} {}\n", line.namesRequest ? '*' : ' ', line.time, line.source,
+                   line.text);
     }
     if (!any) {
         return report(makeError(absl::StatusCode::kNotFound, "searching", words[0],
--- a/unittests/Daemon/callerapitest.cpp
+++ b/unittests/Daemon/callerapitest.cpp
@@ -152,7 +152,7 @@
     answer.outcome = Outcome::Completed;
     answer.replayed = true;
     answer.body = "{\"a\": 1}";
-    const HttpReply reply = makeStreamOfWhole(answer);
+    const HttpReply reply = makeCompleteStream(answer);
     STRCMP_EQUAL("text/event-stream", reply.contentType.c_str());
     EventReader reader;
     reader.feed(reply.body);
