--- a/include/harelink/Daemon/callerapi.h
+++ b/include/harelink/Daemon/callerapi.h
@@ -1,12 +1,12 @@
-//===- harelink/Daemon/callerapi.h - The callers' HTTP API ------*- C++ -*-===//
+//===- harelink/Daemon/callerapi.h - HTTP API for callers -------*- C++ -*-===//
 ///
 /// \file
-/// Translates between callers' HTTP and the kernel's events:
+/// Translates between the HTTP requests of callers and the events of the kernel:
 ///
 ///   POST /v1/pipelines/NAME/requests
 ///
 /// with the headers Harelink-Account, Harelink-Deadline-Ms, Idempotency-Key,
-/// traceparent and, where the daemon asks for it, Authorization: Bearer.
+/// traceparent and, if the daemon requires it, Authorization: Bearer.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -22,37 +22,38 @@
 
 namespace harelink {
 
-/// A caller's request as it was read.
+/// A parsed request of a caller.
 struct CallerRequest
 {
-    RequestArrived arrival;       ///< Without its id.
-    std::string token;            ///< The bearer token; empty where none came.
-    std::uint64_t connection = 0; ///< On which it came.
+    RequestArrived arrival;       ///< The request without its id, which the daemon assigns.
+    std::string token;            ///< The bearer token; empty if the request has none.
+    std::uint64_t connection = 0; ///< The connection that received the request.
 };
 
-/// Reads a caller's request; an error names the fault.
+/// Parses a request of a caller. The error names the invalid header or part.
 [[nodiscard]] absl::StatusOr<CallerRequest> readCallerRequest(HttpRequest request);
 
-/// The reply that carries \p answer.
+/// Returns the complete reply for \p answer: the result, or a problem document.
 [[nodiscard]] HttpReply makeCallerReply(const AnswerCaller &answer);
 
-/// The first part of a reply in parts, which carries \p piece.
-[[nodiscard]] HttpReply makeFirstStreamChunk(const StreamChunk &piece);
-/// A further part.
-[[nodiscard]] HttpReply makeStreamChunk(const StreamChunk &piece);
-/// The last part. Its event carries the outcome: an answer without it is not whole.
+/// Returns the headers of a streamed reply together with its first event, \p chunk.
+[[nodiscard]] HttpReply makeFirstStreamChunk(const StreamChunk &chunk);
+/// Returns the event for a further \p chunk of a streamed reply.
+[[nodiscard]] HttpReply makeStreamChunk(const StreamChunk &chunk);
+/// Returns the last event of a streamed reply, which carries the outcome. A stream that ends
+/// without it is truncated.
 [[nodiscard]] HttpReply makeStreamEnd(const AnswerCaller &answer);
-/// The whole of a completed answer as events, where nothing came in parts.
+/// Returns a completed answer as one event stream, if no chunk was streamed before.
 [[nodiscard]] HttpReply makeCompleteStream(const AnswerCaller &answer);
 
-/// The reply to a request that never became one: an "application/problem+json".
+/// Returns an "application/problem+json" reply for a request that was not accepted.
 ///
 /// \param status the HTTP status.
-/// \param title a short name of the fault.
+/// \param title a short name of the error.
 [[nodiscard]] HttpReply makeProblem(int status, std::string_view title, const absl::Status &error);
 
-/// Whether \p token is the one whose SHA-256, in hexadecimal, is \p expected;
-/// takes the same time whatever the token.
+/// Returns whether the SHA-256 of \p token equals \p expected, which is in hexadecimal. Compares
+/// in constant time.
 [[nodiscard]] bool tokenMatches(const std::string &token, const std::string &expected);
 
 } // namespace harelink
--- a/include/harelink/Daemon/control.h
+++ b/include/harelink/Daemon/control.h
@@ -1,8 +1,8 @@
-//===- harelink/Daemon/control.h - The control thread -----------*- C++ -*-===//
+//===- harelink/Daemon/control.h - Control thread ---------------*- C++ -*-===//
 ///
 /// \file
 /// Runs the control machine of a daemon (configuration, membership, claims) on
-/// one thread and carries out its platform calls and peer messages.
+/// one thread and performs its platform calls and peer messages.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 
 namespace harelink {
 
-/// Counts of what endpoints said of themselves.
+/// Counters of the self-reported state in answers of endpoints.
 struct EndpointNoticeCounters
 {
     std::uint64_t limitChanges = 0;
@@ -35,11 +35,11 @@
     std::uint64_t unreadable = 0;
 };
 
-/// The control thread.
+/// Runs the control machine, the piece router and the piece batcher on one thread.
 class Control
 {
 public:
-    /// Where what concerns a request goes; called on the control's thread.
+    /// Callbacks that forward events to the workers; called on the control thread.
     struct WorkerSink
     {
         std::function<void(ClaimDecision)> claimDecided;
@@ -48,61 +48,61 @@
         std::function<void(RequestSuspected)> requestSuspected; ///< For all workers.
     };
 
-    /// All references outlive the control.
+    /// All references must outlive this object.
     ///
-    /// \param daemons where the number of live daemons is told.
+    /// \param daemons receives the number of live daemons.
     Control(const Settings &settings, const Clock &clock, SnapshotCell &snapshot,
             const Dialect &dialect, Incarnation incarnation, std::atomic<int> &daemons,
             WorkerSink workers);
     ~Control();
 
-    /// Listens for peers and starts the thread.
+    /// Listens for peers and starts the thread. Fails if the peer address cannot be bound.
     absl::Status start();
     void stop();
-    /// Takes in a claim request of a worker; from any thread.
+    /// Handles a claim request of a worker; thread-safe.
     void handleClaimRequest(const ClaimRequest &request);
-    /// Takes in how a claimant ended; from any thread.
+    /// Handles the end of a claimed request; thread-safe.
     void handleClaimFinish(const ClaimFinish &finish);
-    /// Takes in a worker's wishes as to pieces; from any thread.
+    /// Submits pieces of a worker's request, withdraws them, or frees their results; thread-safe.
     void submitPieces(const OrderPieces &order);
     void withdrawPieces(const WithdrawPieces &withdrawal);
     void freeResults(const FreeResults &results);
-    /// Another endpoint answered at the address of this one; from any thread.
+    /// Handles that another endpoint answered at the address of this one; thread-safe.
     void handleEndpointReplaced(const EndpointReplaced &replaced);
-    /// Asks an endpoint whether it is cold; from any thread.
+    /// Checks whether an endpoint is cold; thread-safe.
     void checkColdState(const CheckColdState &check);
-    /// An endpoint's answer said something of the endpoint; from any thread.
+    /// Handles the self-reported state in an answer of an endpoint; thread-safe.
     void handleEndpointNoticed(const EndpointNoticed &event);
-    /// Takes in a call that broke; from any thread.
+    /// Handles a call whose connection broke; thread-safe.
     void handleBrokenCall(const BrokenCall &call);
-    /// Takes in that a suspected request was run to a good end; from any thread.
+    /// Handles that a request suspected of crashing endpoints has completed; thread-safe.
     void handleRequestCleared(const RequestCleared &request);
-    /// A planned stop begins; from any thread.
+    /// Announces a planned stop to the peers; thread-safe.
     void leave();
-    /// Calls \p take with whether nothing waits any more, on the control's thread
-    /// and behind all that was handed in before.
-    void queryIdle(std::function<void(bool)> take);
-    /// Calls \p take with Prometheus text, on the control's thread.
-    void collectMetrics(std::function<void(std::string)> take);
-    /// Calls \p take with the status as JSON, on the control's thread.
-    void collectStatus(std::function<void(std::string)> take);
-    /// Whether a configuration is in force; from any thread.
+    /// Calls \p callback on the control thread, after all events posted before, with true if no
+    /// work is pending.
+    void queryIdle(std::function<void(bool)> callback);
+    /// Calls \p callback on the control thread with the metrics as Prometheus text.
+    void collectMetrics(std::function<void(std::string)> callback);
+    /// Calls \p callback on the control thread with the status as JSON.
+    void collectStatus(std::function<void(std::string)> callback);
+    /// Returns whether a configuration is in force; thread-safe.
     [[nodiscard]] bool ready() const { return m_ready; }
-    /// The port for peers, after start().
+    /// Returns the port for peers; valid after start().
     [[nodiscard]] std::uint16_t peerPort() const { return m_peers.port(); }
 
 private:
-    std::optional<TimePoint> turn();
-    void carryOut();
-    void call(const PlatformCall &call);
+    std::optional<TimePoint> runIteration();
+    void performActions();
+    void sendPlatformCall(const PlatformCall &call);
     void publish();
-    void carryOutPieces();
-    void takePieceMessage(const PeerMessage &message);
+    void performPieceActions();
+    void handlePieceMessage(const PeerMessage &message);
     void sendTo(const std::string &host, decltype(PeerMessage::content) content);
-    void callPieces(const PieceCall &call);
+    void sendPieceCall(const PieceCall &call);
     void sendFreeRequests(const std::vector<std::string> &handles);
-    std::vector<PromptBacklog> ownPrompts();
-    void noteReplaced(const std::string &endpoint);
+    std::vector<PromptBacklog> localPromptBacklogs();
+    void recordEndpointReplaced(const std::string &endpoint);
     void handleNotice(const EndpointNoticed &event);
     void applyLimit(const EndpointLimitAnnounced &change);
     void applyLimits(const Snapshot &snapshot);
@@ -113,10 +113,10 @@
     void recordColdState(const ColdStateChecked &state);
     void recordEndpointUpdates();
     void logCall(const PlatformCall &call, const PlatformResult &result, const HttpResult &http);
-    void takePeerChanges();
-    void logConnection();
+    void handlePeerChanges();
+    void logPlatformConnection();
     void addPeerUsage(const std::vector<UsageReport> &reports);
-    std::vector<UsageReport> takeOwnUsage();
+    std::vector<UsageReport> drainLocalUsage();
 
     const Settings &m_settings;
     const Clock &m_clock;
@@ -129,14 +129,14 @@
     ControlMachine m_machine;
     PieceRouter m_pieceRouter;
     PieceBatcher m_pieceBatcher;
-    std::uint64_t m_unreadableEntries = 0; ///< Objects that could not even be named.
+    std::uint64_t m_unreadableEntries = 0; ///< Objects whose name could not be read.
     std::uint64_t m_platformCalls = 0;
-    std::uint64_t m_quarantines = 0; ///< Decided here.
+    std::uint64_t m_quarantines = 0; ///< Decided by this daemon.
     std::uint64_t m_coldChecks = 0;
     EndpointNoticeCounters m_notices;
-    std::set<std::string> m_unreadableNotices; ///< Endpoints whose fields were logged.
-    bool m_wasConnected = false;
-    std::vector<std::string> m_peersBefore; ///< Live at the last heartbeat.
+    std::set<std::string> m_unreadableNotices; ///< Endpoints whose unreadable fields were logged.
+    bool m_wasPlatformConnected = false;
+    std::vector<std::string> m_previousLivePeers; ///< Live peers at the previous heartbeat.
     std::atomic<bool> m_ready{false};
     std::thread m_thread;
 };
--- a/include/harelink/Daemon/daemon.h
+++ b/include/harelink/Daemon/daemon.h
@@ -1,7 +1,7 @@
-//===- harelink/Daemon/daemon.h - The whole daemon --------------*- C++ -*-===//
+//===- harelink/Daemon/daemon.h - Daemon ------------------------*- C++ -*-===//
 ///
 /// \file
-/// Puts listeners, workers and the control thread together.
+/// Owns the HTTP listeners, the workers and the control thread of one daemon.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,26 +20,27 @@
 
 namespace harelink {
 
-/// One daemon.
+/// Starts, drains and stops the threads of one daemon and routes requests to the workers.
 class Daemon
 {
 public:
-    /// \param requestStop is called, on a thread of the operators' listener, when an
-    ///        operator asks for a planned stop; once.
+    /// \param requestStop is called once, on a thread of the operators' listener, when an
+    ///        operator requests a planned stop.
     Daemon(Settings settings, std::function<void()> requestStop);
     ~Daemon();
 
-    /// Starts everything; an error names the address that cannot be had.
+    /// Starts all threads and listeners. The error names the address that cannot be bound.
     absl::Status start();
-    /// Begins a planned stop: not ready any more, but still serving.
+    /// Begins a planned stop: reports not ready, but still serves new requests.
     void announceStop();
-    /// Goes on with it: new requests are refused.
+    /// Continues a planned stop: refuses new requests.
     void drain();
-    /// Whether nothing is in progress any more; asks the workers.
+    /// Returns whether no request is in progress and the control thread is idle. Blocks until
+    /// the workers and the control thread have replied.
     [[nodiscard]] bool idle();
-    /// Answers all that is in progress at once.
+    /// Answers all requests in progress immediately.
     void abandonAll();
-    /// Ends everything.
+    /// Stops the listeners, the workers and the control thread.
     void stop();
     [[nodiscard]] const Settings &settings() const { return m_settings; }
 
@@ -49,7 +50,7 @@
     void handleDrain(const HttpRequest &request, const Responder &responder);
     void replyMetrics(const Responder &responder);
     void handleProxied(const HttpRequest &request, const Responder &responder);
-    Worker &workerOf(std::uint64_t sequence);
+    Worker &workerFor(std::uint64_t sequence);
 
     Settings m_settings;
     std::function<void()> m_requestStop;
--- a/include/harelink/Daemon/metrics.h
+++ b/include/harelink/Daemon/metrics.h
@@ -1,8 +1,8 @@
-//===- harelink/Daemon/metrics.h - What operators watch ---------*- C++ -*-===//
+//===- harelink/Daemon/metrics.h - Request metrics --------------*- C++ -*-===//
 ///
 /// \file
-/// Counts and histograms of what a worker did, in Prometheus text. Each worker
-/// has its own; they are merged when somebody asks.
+/// Counters and histograms of the requests of a worker, rendered as Prometheus
+/// text. Each worker has its own metrics; they are merged for each scrape.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace harelink {
 
-/// A histogram of seconds.
+/// A histogram of durations in seconds.
 class SecondsHistogram
 {
 public:
@@ -37,15 +37,15 @@
     double m_sum = 0;
 };
 
-/// What requests came to.
+/// Counters and histograms of answered requests.
 class RequestMetrics
 {
 public:
-    /// Takes in the answer to one request.
+    /// Records the answer to one request.
     void observe(const AnswerCaller &answer);
-    /// Adds what another worker saw.
+    /// Adds the metrics of another worker.
     void merge(const RequestMetrics &other);
-    /// Appends Prometheus text.
+    /// Appends all metrics as Prometheus text.
     void render(std::string &out) const;
 
 private:
--- a/include/harelink/Daemon/worker.h
+++ b/include/harelink/Daemon/worker.h
@@ -1,7 +1,7 @@
-//===- harelink/Daemon/worker.h - A worker thread ---------------*- C++ -*-===//
+//===- harelink/Daemon/worker.h - Worker thread -----------------*- C++ -*-===//
 ///
 /// \file
-/// Runs one request machine on a thread of its own and carries out its actions.
+/// Runs one request machine on its own thread and performs its actions.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +28,7 @@
 
 namespace harelink {
 
-/// What a worker tells when asked.
+/// The metrics and counters of a worker.
 struct WorkerReport
 {
     RequestMetrics metrics;
@@ -37,11 +37,11 @@
     std::size_t queued = 0;
 };
 
-/// One worker.
+/// Runs a request machine: feeds it requests and results of calls, and performs its actions.
 class Worker
 {
 public:
-    /// Where what concerns the control goes; called on the worker's thread.
+    /// Callbacks that forward actions to the control thread; called on the worker thread.
     struct ControlSink
     {
         std::function<void(ClaimRequest)> requestClaim;
@@ -56,7 +56,7 @@
         std::function<void(const EndpointNoticed &)> endpointNoticed;
     };
 
-    /// All references outlive the worker.
+    /// All references must outlive the worker.
     Worker(const Settings &settings, const Clock &clock, const SnapshotCell &snapshot,
            const Dialect &dialect, std::uint64_t seed, const std::atomic<int> &daemons,
            ControlSink control);
@@ -64,46 +64,47 @@
 
     /// Starts the thread.
     void start();
-    /// Takes in a caller's request; from any thread. \p responder is called once.
+    /// Submits a request of a caller; thread-safe. \p responder is called once for a complete
+    /// reply, and once for each part of a streamed one.
     void submit(CallerRequest request, const Responder &responder);
-    /// Takes in the decision on a claim; from any thread.
+    /// Handles the decision on a claim; thread-safe.
     void handleClaimDecision(ClaimDecision decision);
-    /// Takes in what became of a piece; from any thread.
+    /// Handles the outcome of a piece; thread-safe.
     void handlePieceEnded(PieceEnded event);
-    /// Takes in that an endpoint's life is over; from any thread.
+    /// Handles the end of an endpoint instance; thread-safe.
     void handleEndpointEnded(const std::string &endpoint);
-    /// Takes in that an endpoint ended under such a request; from any thread.
+    /// Handles that an endpoint ended while it ran such a request; thread-safe.
     void handleSuspectedRequest(const RequestSuspected &event);
-    /// The callers' connection \p connection ended; from any thread.
+    /// Handles the end of \p connection of a caller; thread-safe.
     void handleConnectionClosed(std::uint64_t connection);
-    /// From now on replies ask callers to open another connection; from any thread.
+    /// Makes further replies ask callers to open another connection; thread-safe.
     void closeConnections();
-    /// Refuses new requests from now on; from any thread.
+    /// Refuses new requests; thread-safe.
     void drain();
-    /// Answers all that is in progress at once; from any thread.
+    /// Answers all requests in progress immediately; thread-safe.
     void abandonAll();
-    /// Calls \p take with a report, on the worker's thread.
-    void collectReport(std::function<void(WorkerReport)> take);
-    /// Ends the thread.
+    /// Calls \p callback on the worker thread with a report.
+    void collectReport(std::function<void(WorkerReport)> callback);
+    /// Stops the thread.
     void stop();
 
 private:
-    /// Who waits for an answer.
+    /// A caller that waits for an answer.
     struct Caller
     {
         Responder responder;
-        bool wantsStream = false;
-        bool streamBegan = false;
+        bool acceptsStream = false;
+        bool streamStarted = false;
         bool proxied = false;
         std::uint64_t connection = 0;
     };
 
     template <typename Event>
-    void feed(Event event);
-    void refuseToken(const CallerRequest &request, const Responder &responder);
+    void dispatch(Event event);
+    void rejectToken(const CallerRequest &request, const Responder &responder);
     void accept(CallerRequest request, const Responder &responder);
-    std::optional<TimePoint> turn();
-    void carryOut();
+    std::optional<TimePoint> runIteration();
+    void performActions();
     void perform(SendStage action);
     void perform(const CancelStage &action);
     void perform(const StreamChunk &action);
@@ -119,13 +120,13 @@
     void perform(const CheckColdState &action);
     void perform(const BrokenCallReport &action);
     void perform(const RequestCleared &action);
-    void carry(const SendStage &action);
+    void forwardProxied(const SendStage &action);
     void answerProxied(const Caller &caller, const AnswerCaller &action);
-    void forget(std::uint64_t sequence);
+    void removeCaller(std::uint64_t sequence);
     void logAnswer(const AnswerCaller &action) const;
     void stream(const CallId &call, const HttpCall &http,
                 const std::shared_ptr<StageStream> &stream);
-    void feedAny(std::variant<StageAnswered, StageFailed> event);
+    void dispatchResult(std::variant<StageAnswered, StageFailed> event);
     const StageProtocol &protocol(const std::string &name);
 
     const Settings &m_settings;
@@ -133,13 +134,13 @@
     const SnapshotCell &m_snapshot;
     const Dialect &m_dialect;
     ControlSink m_control;
-    bool m_closesConnections = false;
+    bool m_closeConnections = false;
     EventLoop m_loop;
     RequestMachine m_machine;
     RequestMetrics m_metrics;
     absl::flat_hash_map<std::uint64_t, Caller> m_callers; // By request sequence.
-    absl::flat_hash_map<std::uint64_t, std::vector<RequestId>> m_byConnection;
-    std::map<CallId, std::uint64_t> m_calls; // To HttpClient's ids.
+    absl::flat_hash_map<std::uint64_t, std::vector<RequestId>> m_requestsByConnection;
+    std::map<CallId, std::uint64_t> m_calls; // Values are call ids of HttpClient.
     std::map<std::string, std::unique_ptr<StageProtocol>> m_protocols;
     std::thread m_thread;
 };
--- a/lib/Daemon/callerapi.cpp
+++ b/lib/Daemon/callerapi.cpp
@@ -19,8 +19,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t longestKey = 200;
-constexpr std::int64_t longestDeadlineMs = 600'000;
+constexpr std::size_t maxKeyLength = 200;
+constexpr std::int64_t maxDeadlineMs = 600'000;
 constexpr std::size_t sha256Bytes = 32;
 constexpr std::string_view bearerPrefix = "Bearer ";
 
@@ -47,16 +47,16 @@
     std::int64_t value = 0;
     const char *end = text.data() + text.size();
     const auto [rest, error] = std::from_chars(text.data(), end, value);
-    if (error != std::errc() || rest != end || value < 1 || value > longestDeadlineMs) {
+    if (error != std::errc() || rest != end || value < 1 || value > maxDeadlineMs) {
         return badRequest(
-            fmt::format("header harelink-deadline-ms: must be from 1 to {}", longestDeadlineMs));
+            fmt::format("header harelink-deadline-ms: must be from 1 to {}", maxDeadlineMs));
     }
     arrival.timeAllowed = milliseconds(value);
     return absl::OkStatus();
 }
 
 /// The HTTP status that says \p reason best.
-int statusOf(const AnswerCaller &answer)
+int httpStatusFor(const AnswerCaller &answer)
 {
     switch (answer.reason) {
     case Reason::None:
@@ -91,12 +91,12 @@
     return 500;
 }
 
-std::string oneLine(const nlohmann::json &value)
+std::string toJsonLine(const nlohmann::json &value)
 {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::string describeCosts(const std::vector<StageCost> &costs)
+std::string formatStageCosts(const std::vector<StageCost> &costs)
 {
     std::string text;
     for (const StageCost &cost : costs) {
@@ -127,10 +127,10 @@
         return badRequest("header harelink-account: is missing");
     }
     read.arrival.idempotencyKey = request.header("idempotency-key");
-    if (read.arrival.idempotencyKey.size() > longestKey
+    if (read.arrival.idempotencyKey.size() > maxKeyLength
         || !isPrintable(read.arrival.idempotencyKey)) {
         return badRequest(fmt::format(
-            "header idempotency-key: must be at most {} printable characters", longestKey));
+            "header idempotency-key: must be at most {} printable characters", maxKeyLength));
     }
     const absl::Status deadline =
         readDeadline(request.header("harelink-deadline-ms"), read.arrival);
@@ -162,24 +162,24 @@
     HttpReply reply;
     reply.status = status;
     reply.contentType = "application/problem+json";
-    reply.body = oneLine(problem);
+    reply.body = toJsonLine(problem);
     return reply;
 }
 
-HttpReply makeFirstStreamChunk(const StreamChunk &piece)
+HttpReply makeFirstStreamChunk(const StreamChunk &chunk)
 {
-    HttpReply reply = makeStreamChunk(piece);
+    HttpReply reply = makeStreamChunk(chunk);
     reply.contentType = std::string(eventStreamType);
     reply.headers.emplace_back("Cache-Control", "no-store");
-    reply.headers.emplace_back("Harelink-Request-Id", toText(piece.id));
+    reply.headers.emplace_back("Harelink-Request-Id", toText(chunk.id));
     return reply;
 }
 
-HttpReply makeStreamChunk(const StreamChunk &piece)
+HttpReply makeStreamChunk(const StreamChunk &chunk)
 {
-    const nlohmann::json data = {{"token", piece.firstToken}, {"text", piece.text}};
+    const nlohmann::json data = {{"token", chunk.firstToken}, {"text", chunk.text}};
     HttpReply reply;
-    reply.body = formatEvent("token", oneLine(data));
+    reply.body = formatEvent("token", toJsonLine(data));
     reply.more = true;
     return reply;
 }
@@ -189,7 +189,7 @@
     nlohmann::json data = {{"outcome", toText(answer.outcome)},
                            {"requestId", toText(answer.id)},
                            {"tokens", answer.tokens},
-                           {"stages", describeCosts(answer.costs)}};
+                           {"stages", formatStageCosts(answer.costs)}};
     if (answer.outcome != Outcome::Completed) {
         data["reason"] = toText(answer.reason);
         data["detail"] = errorMessage(answer.error);
@@ -197,7 +197,7 @@
         data["peer"] = errorPeer(answer.error);
     }
     HttpReply reply;
-    reply.body = formatEvent("outcome", oneLine(data));
+    reply.body = formatEvent("outcome", toJsonLine(data));
     return reply;
 }
 
@@ -205,7 +205,7 @@
 {
     HttpReply reply = makeCallerReply(answer);
     const nlohmann::json body = nlohmann::json::parse(answer.body, nullptr, false);
-    const std::string whole = oneLine(body.is_discarded() ? nlohmann::json(answer.body) : body);
+    const std::string whole = toJsonLine(body.is_discarded() ? nlohmann::json(answer.body) : body);
     reply.contentType = std::string(eventStreamType);
     reply.body = formatEvent("answer", whole) + makeStreamEnd(answer).body;
     return reply;
@@ -217,12 +217,12 @@
     if (answer.outcome == Outcome::Completed) {
         reply.body = answer.body;
     } else {
-        reply = makeProblem(statusOf(answer), toText(answer.reason), answer.error);
+        reply = makeProblem(httpStatusFor(answer), toText(answer.reason), answer.error);
     }
     reply.headers.emplace_back("Harelink-Request-Id", toText(answer.id));
     reply.headers.emplace_back("Harelink-Outcome", toText(answer.outcome));
     if (!answer.costs.empty()) {
-        reply.headers.emplace_back("Harelink-Stages", describeCosts(answer.costs));
+        reply.headers.emplace_back("Harelink-Stages", formatStageCosts(answer.costs));
     }
     if (answer.replayed) {
         reply.headers.emplace_back("Harelink-Replayed", "true");
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -25,9 +25,10 @@
 /// A status check that takes longer says nothing: requests wait for it.
 constexpr std::chrono::milliseconds coldCheckTimeout{200};
 /// Endpoints whose unreadable fields are logged; of others they are only counted.
-constexpr std::size_t mostUnreadableNotices = 1000;
+constexpr std::size_t maxLoggedUnreadableNotices = 1000;
 
-ControlOptions optionsOf(const Settings &settings, const Dialect &dialect, Incarnation incarnation)
+ControlOptions makeControlOptions(const Settings &settings, const Dialect &dialect,
+                                  Incarnation incarnation)
 {
     ControlOptions options;
     options.host = settings.host;
@@ -47,7 +48,7 @@
 
 /// Calls \p visit with the name of the account, of the pool, and the load.
 template <typename Visit>
-void forEachLoad(const Snapshot &snapshot, const Visit &visit)
+void forEachAccountLoad(const Snapshot &snapshot, const Visit &visit)
 {
     for (const auto &[accountName, account] : snapshot.accounts) {
         for (const auto &[poolName, load] : account.loads) {
@@ -84,7 +85,7 @@
 }
 
 /// Tells of data centres that are drained from now on, or no more.
-void logDrains(const Snapshot &before, const Snapshot &next)
+void logDrainChanges(const Snapshot &before, const Snapshot &next)
 {
     const auto tell = [&next](const char *event, const std::set<std::string> &dataCentres,
                               const std::set<std::string> &others) {
@@ -111,7 +112,7 @@
     , m_dialect(dialect)
     , m_daemons(daemons)
     , m_workers(std::move(workers))
-    , m_machine(clock, optionsOf(settings, dialect, incarnation))
+    , m_machine(clock, makeControlOptions(settings, dialect, incarnation))
     , m_pieceRouter(clock, m_machine.membership(),
                     {settings.retryRatio, settings.retryAllowance, settings.retryWindow})
     , m_pieceBatcher(clock)
@@ -137,7 +138,7 @@
     m_machine.setPeerAddress(fmt::format("{}:{}", ip, m_peers.port()));
     m_thread = std::thread([this] {
         m_loop.run(
-            m_clock, [this] { return turn(); }, m_peers.descriptor());
+            m_clock, [this] { return runIteration(); }, m_peers.descriptor());
     });
     return absl::OkStatus();
 }
@@ -154,7 +155,7 @@
 {
     m_loop.post([this, request] {
         m_machine.handle(request);
-        carryOut();
+        performActions();
     });
 }
 
@@ -162,7 +163,7 @@
 {
     m_loop.post([this, finish] {
         m_machine.handle(finish);
-        carryOut();
+        performActions();
     });
 }
 
@@ -170,7 +171,7 @@
 {
     m_loop.post([this, order] {
         m_pieceRouter.submit(order.pool, order.orders, m_snapshot.current());
-        carryOut();
+        performActions();
     });
 }
 
@@ -178,7 +179,7 @@
 {
     m_loop.post([this, withdrawal] {
         m_pieceRouter.withdraw(withdrawal.id);
-        carryOut();
+        performActions();
     });
 }
 
@@ -186,7 +187,7 @@
 {
     m_loop.post([this, results] {
         m_pieceRouter.free(results.handles, m_snapshot.current());
-        carryOut();
+        performActions();
     });
 }
 
@@ -236,12 +237,12 @@
 void Control::handleEndpointReplaced(const EndpointReplaced &replaced)
 {
     m_loop.post([this, replaced] {
-        noteReplaced(replaced.endpoint);
-        carryOut();
+        recordEndpointReplaced(replaced.endpoint);
+        performActions();
     });
 }
 
-void Control::noteReplaced(const std::string &endpoint)
+void Control::recordEndpointReplaced(const std::string &endpoint)
 {
     logger.record(LogLevel::Warning, "endpoint-replaced").field("endpoint", endpoint);
     m_machine.handleEndpointLeaving(endpoint);
@@ -251,7 +252,7 @@
 {
     m_loop.post([this, event] {
         handleNotice(event);
-        carryOut();
+        performActions();
     });
 }
 
@@ -283,7 +284,7 @@
 /// Logs the first unreadable field of each endpoint.
 void Control::logUnreadableNotice(const EndpointNoticed &event)
 {
-    if (m_unreadableNotices.size() >= mostUnreadableNotices) {
+    if (m_unreadableNotices.size() >= maxLoggedUnreadableNotices) {
         return;
     }
     if (m_unreadableNotices.insert(event.endpoint).second) {
@@ -310,7 +311,7 @@
 {
     m_loop.post([this, call] {
         m_machine.handle(call);
-        carryOut();
+        performActions();
     });
 }
 
@@ -318,7 +319,7 @@
 {
     m_loop.post([this, request] {
         m_machine.handle(request);
-        carryOut();
+        performActions();
     });
 }
 
@@ -340,7 +341,7 @@
             .field("outcome", toText(outcome))
             .field("detail", result.error);
         m_machine.handle(EndpointProbeResult{probe.endpoint, outcome});
-        carryOut();
+        performActions();
     });
 }
 
@@ -349,22 +350,23 @@
     m_loop.post([this] { m_machine.leave(); });
 }
 
-void Control::queryIdle(std::function<void(bool)> take)
+void Control::queryIdle(std::function<void(bool)> callback)
 {
-    m_loop.post(
-        [this, take = std::move(take)] { take(m_machine.idle() && m_pieceBatcher.idle()); });
+    m_loop.post([this, callback = std::move(callback)] {
+        callback(m_machine.idle() && m_pieceBatcher.idle());
+    });
 }
 
-std::optional<TimePoint> Control::turn()
+std::optional<TimePoint> Control::runIteration()
 {
     while (const std::optional<PeerMessage> message = m_peers.receive()) {
         m_machine.handle(*message);
     }
     if (m_machine.heartbeatsDue()) {
-        m_machine.recordUsage(takeOwnUsage());
+        m_machine.recordUsage(drainLocalUsage());
         m_machine.recordBacklogs(m_pieceBatcher.backlogs(m_snapshot.current()));
-        m_machine.recordPrompts(ownPrompts());
-        takePeerChanges();
+        m_machine.recordPrompts(localPromptBacklogs());
+        handlePeerChanges();
         applyLimits(m_snapshot.current());
         m_daemons.store(m_machine.membership().recentHostCount(), std::memory_order_relaxed);
     }
@@ -372,7 +374,7 @@
     recordEndpointUpdates();
     m_pieceRouter.tick(m_snapshot.current());
     m_pieceBatcher.tick(m_snapshot.current());
-    carryOut();
+    performActions();
     m_peers.flush(m_clock.now());
     return std::min({m_machine.nextTick(), m_pieceRouter.nextTick(), m_pieceBatcher.nextTick(),
                      m_peers.nextFlush()});
@@ -402,7 +404,7 @@
     }
 }
 
-void Control::takePieceMessage(const PeerMessage &message)
+void Control::handlePieceMessage(const PeerMessage &message)
 {
     const Snapshot &snapshot = m_snapshot.current();
     if (const auto *orders = std::get_if<PieceOrders>(&message.content)) {
@@ -417,7 +419,7 @@
 }
 
 /// Carries out what the router and the batcher want, until neither wants more.
-void Control::carryOutPieces()
+void Control::performPieceActions()
 {
     const Snapshot &snapshot = m_snapshot.current();
     const std::string &self = m_machine.membership().host();
@@ -465,10 +467,10 @@
         }
         for (const PieceCall &call : m_pieceBatcher.drainCalls()) {
             logPieceCall(call);
-            callPieces(call);
+            sendPieceCall(call);
         }
         for (const std::string &endpoint : m_pieceBatcher.drainReplacedEndpoints()) {
-            noteReplaced(endpoint);
+            recordEndpointReplaced(endpoint);
         }
     }
     sendFreeRequests(m_pieceBatcher.drainFreedResults());
@@ -477,7 +479,7 @@
     }
 }
 
-void Control::callPieces(const PieceCall &call)
+void Control::sendPieceCall(const PieceCall &call)
 {
     const PieceDialect &dialect = *m_dialect.pieces();
     const TimePoint sentAt = m_clock.now();
@@ -495,17 +497,17 @@
         }
         handleNotice(call, ended, sentAt);
         m_pieceBatcher.handle(ended, m_snapshot.current());
-        carryOut();
+        performActions();
     };
     m_loop.http().send(dialect.encode(call), done);
 }
 
-void Control::carryOut()
+void Control::performActions()
 {
-    carryOutPieces();
+    performPieceActions();
     ControlOutput output = m_machine.drainOutput();
     for (const PlatformCall &next : output.calls) {
-        call(next);
+        sendPlatformCall(next);
     }
     for (const PeerSend &send : output.sends) {
         m_peers.send(send, m_clock.now());
@@ -522,7 +524,7 @@
         }
     }
     for (const PeerMessage &message : output.pieceMessages) {
-        takePieceMessage(message);
+        handlePieceMessage(message);
     }
     if (output.configChanged) {
         publish();
@@ -567,7 +569,7 @@
         }
     }
     if (!output.pieceMessages.empty() || !output.endedEndpoints.empty()) {
-        carryOutPieces();
+        performPieceActions();
     }
 }
 
@@ -593,7 +595,7 @@
     }
 }
 
-void Control::call(const PlatformCall &call)
+void Control::sendPlatformCall(const PlatformCall &call)
 {
     ++m_platformCalls;
     const PlatformDialect &dialect = m_dialect.platform();
@@ -603,8 +605,8 @@
         const PlatformResult decoded = dialect.decode(call, result);
         logCall(call, decoded, result);
         m_machine.handle(decoded);
-        logConnection();
-        carryOut();
+        logPlatformConnection();
+        performActions();
     });
 }
 
@@ -620,10 +622,10 @@
             .field("kind", call.kind)
             .field("objects", result.unreadable);
     }
-    const bool isTrouble = result.outcome == PlatformOutcome::Refused
+    const bool isFailure = result.outcome == PlatformOutcome::Refused
                            || result.outcome == PlatformOutcome::Unanswered
                            || result.outcome == PlatformOutcome::Gone;
-    if (!isTrouble) {
+    if (!isFailure) {
         return;
     }
     logger.record(LogLevel::Warning, "platform-call-failed")
@@ -637,15 +639,15 @@
 
 /// Tells of peers that were heard of or fell silent since the last call; what the silent ones
 /// ordered is forgotten.
-void Control::takePeerChanges()
+void Control::handlePeerChanges()
 {
     const std::vector<std::string> &now = m_machine.membership().livePeers();
     std::vector<std::string> heard;
-    std::set_difference(now.begin(), now.end(), m_peersBefore.begin(), m_peersBefore.end(),
-                        std::back_inserter(heard));
+    std::set_difference(now.begin(), now.end(), m_previousLivePeers.begin(),
+                        m_previousLivePeers.end(), std::back_inserter(heard));
     std::vector<std::string> silent;
-    std::set_difference(m_peersBefore.begin(), m_peersBefore.end(), now.begin(), now.end(),
-                        std::back_inserter(silent));
+    std::set_difference(m_previousLivePeers.begin(), m_previousLivePeers.end(), now.begin(),
+                        now.end(), std::back_inserter(silent));
     for (const std::string &host : heard) {
         logger.record(LogLevel::Info, "peer-heard").field("host", host);
     }
@@ -653,14 +655,14 @@
         logger.record(LogLevel::Warning, "peer-silent").field("host", host);
         m_pieceBatcher.removeHost(host, m_snapshot.current());
     }
-    m_peersBefore = now;
+    m_previousLivePeers = now;
 }
 
-void Control::logConnection()
+void Control::logPlatformConnection()
 {
-    if (m_machine.connected() != m_wasConnected) {
-        m_wasConnected = m_machine.connected();
-        logger.warning("The platform {}.", m_wasConnected ? "answers" : "does not answer");
+    if (m_machine.connected() != m_wasPlatformConnected) {
+        m_wasPlatformConnected = m_machine.connected();
+        logger.warning("The platform {}.", m_wasPlatformConnected ? "answers" : "does not answer");
     }
 }
 
@@ -682,7 +684,7 @@
         recordColdShares(*next, m_machine.coldShares());
     }
     applyLimits(*next);
-    logDrains(m_snapshot.current(), *next);
+    logDrainChanges(m_snapshot.current(), *next);
     m_snapshot.publish(std::move(next));
     logger.record(LogLevel::Info, "configuration-in-force")
         .field("version", revision)
@@ -690,20 +692,21 @@
     m_ready = true;
 }
 
-std::vector<UsageReport> Control::takeOwnUsage()
+std::vector<UsageReport> Control::drainLocalUsage()
 {
     std::vector<UsageReport> reports;
-    forEachLoad(m_snapshot.current(), [&](const auto &account, const auto &pool, auto &load) {
-        const Duration own = load.usageMeter.drainOwnUsage();
-        const int demand = load.demand.load(std::memory_order_relaxed);
-        if (own != Duration{} || demand > 0) {
-            reports.push_back({account, pool, own, demand});
-        }
-    });
+    forEachAccountLoad(m_snapshot.current(),
+                       [&](const auto &account, const auto &pool, auto &load) {
+                           const Duration own = load.usageMeter.drainOwnUsage();
+                           const int demand = load.demand.load(std::memory_order_relaxed);
+                           if (own != Duration{} || demand > 0) {
+                               reports.push_back({account, pool, own, demand});
+                           }
+                       });
     return reports;
 }
 
-std::vector<PromptBacklog> Control::ownPrompts()
+std::vector<PromptBacklog> Control::localPromptBacklogs()
 {
     std::vector<PromptBacklog> prompts;
     for (const auto &[name, pool] : m_snapshot.current().pools) {
@@ -727,9 +730,9 @@
     }
 }
 
-void Control::collectMetrics(std::function<void(std::string)> take)
+void Control::collectMetrics(std::function<void(std::string)> callback)
 {
-    m_loop.post([this, take = std::move(take)] {
+    m_loop.post([this, callback = std::move(callback)] {
         std::string text;
         const auto counter = [&text](const char *name, std::uint64_t value) {
             renderValue(name, "counter", static_cast<double>(value), text);
@@ -772,13 +775,13 @@
         gauge("harelink_watches_platform", m_machine.watches() ? 1 : 0);
         gauge("harelink_live_peers",
               static_cast<double>(m_machine.membership().livePeers().size()));
-        take(std::move(text));
+        callback(std::move(text));
     });
 }
 
-void Control::collectStatus(std::function<void(std::string)> take)
+void Control::collectStatus(std::function<void(std::string)> callback)
 {
-    m_loop.post([this, take = std::move(take)] {
+    m_loop.post([this, callback = std::move(callback)] {
         nlohmann::json status;
         status["host"] = m_settings.host;
         status["dataCentre"] = m_settings.dataCentre;
@@ -798,7 +801,7 @@
             object["deleted"] = entry.deleted;
             object["fault"] = entry.fault;
         }
-        take(status.dump());
+        callback(status.dump());
     });
 }
 
--- a/lib/Daemon/daemon.cpp
+++ b/lib/Daemon/daemon.cpp
@@ -23,15 +23,15 @@
 constexpr int statusMethodNotAllowed = 405;
 constexpr int statusUnavailable = 503;
 /// Whatever a pipeline allows, a daemon of few megabytes takes in no more.
-constexpr std::size_t largestCallerBody = 8'000'000;
+constexpr std::size_t maxCallerBodyBytes = 8'000'000;
 
-Incarnation drawIncarnation()
+Incarnation generateIncarnation()
 {
     std::random_device device;
     return (static_cast<Incarnation>(device()) << 32) | device();
 }
 
-int statusOfBadRequest(const absl::Status &status)
+int httpStatusForBadRequest(const absl::Status &status)
 {
     switch (status.code()) {
     case absl::StatusCode::kNotFound:
@@ -43,7 +43,7 @@
     }
 }
 
-HttpReply plainReply(int status, std::string body)
+HttpReply makePlainReply(int status, std::string body)
 {
     HttpReply reply;
     reply.status = status;
@@ -53,11 +53,11 @@
 }
 
 /// Collects the reports of all threads and replies when the last is in.
-class MetricsGatherer
+class MetricsCollector
 {
 public:
-    MetricsGatherer(std::size_t parts, Responder responder)
-        : m_missing(parts)
+    MetricsCollector(std::size_t parts, Responder responder)
+        : m_pendingReports(parts)
         , m_responder(std::move(responder))
     {
     }
@@ -74,19 +74,19 @@
         m_resumed += report.counters.resumedStreams;
         m_inProgress += report.inProgress;
         m_queued += report.queued;
-        finishPart();
+        completeReport();
     }
     void add(const std::string &text)
     {
         const std::lock_guard<std::mutex> guard(m_mutex);
         m_text += text;
-        finishPart();
+        completeReport();
     }
 
 private:
-    void finishPart()
+    void completeReport()
     {
-        if (--m_missing > 0) {
+        if (--m_pendingReports > 0) {
             return;
         }
         m_metrics.render(m_text);
@@ -101,11 +101,11 @@
         value("harelink_resumed_streams_total", "counter", m_resumed);
         value("harelink_requests_in_progress", "gauge", m_inProgress);
         value("harelink_requests_queued", "gauge", m_queued);
-        m_responder(plainReply(200, std::move(m_text)));
+        m_responder(makePlainReply(200, std::move(m_text)));
     }
 
     std::mutex m_mutex;
-    std::size_t m_missing;
+    std::size_t m_pendingReports;
     Responder m_responder;
     RequestMetrics m_metrics;
     std::string m_text;
@@ -124,18 +124,18 @@
 Daemon::Daemon(Settings settings, std::function<void()> requestStop)
     : m_settings(std::move(settings))
     , m_requestStop(std::move(requestStop))
-    , m_incarnation(drawIncarnation())
+    , m_incarnation(generateIncarnation())
     , m_dialect(Registry<Dialect>::instance().make(m_settings.dialect))
 {
     assert(m_dialect != nullptr && "the settings were checked against the known dialects");
     Control::WorkerSink workers;
     workers.claimDecided = [this](ClaimDecision decision) {
         const std::uint64_t sequence = decision.claimant.sequence;
-        workerOf(sequence).handleClaimDecision(std::move(decision));
+        workerFor(sequence).handleClaimDecision(std::move(decision));
     };
     workers.pieceEnded = [this](PieceEnded event) {
         const std::uint64_t sequence = event.outcome.id.request.sequence;
-        workerOf(sequence).handlePieceEnded(std::move(event));
+        workerFor(sequence).handlePieceEnded(std::move(event));
     };
     workers.endpointEnded = [this](const std::string &endpoint) {
         for (const auto &worker : m_workers) {
@@ -186,7 +186,7 @@
     stop();
 }
 
-Worker &Daemon::workerOf(std::uint64_t sequence)
+Worker &Daemon::workerFor(std::uint64_t sequence)
 {
     return *m_workers[sequence % m_workers.size()];
 }
@@ -213,7 +213,7 @@
     options.address = m_settings.callerAddress;
     options.threads = m_settings.listenerThreads;
     options.idleLimit = m_settings.idleLimit;
-    options.largestBody = largestCallerBody;
+    options.largestBody = maxCallerBodyBytes;
     options.onClosed = [this](std::uint64_t connection) {
         for (const auto &worker : m_workers) {
             worker->handleConnectionClosed(connection);
@@ -257,7 +257,7 @@
     }
     const std::uint64_t sequence = m_nextSequence++;
     read->id = {m_incarnation, sequence};
-    workerOf(sequence).submit({*std::move(read), {}, connection}, responder);
+    workerFor(sequence).submit({*std::move(read), {}, connection}, responder);
 }
 
 void Daemon::handleCaller(HttpRequest request, const Responder &responder)
@@ -270,7 +270,7 @@
     absl::StatusOr<CallerRequest> read = readCallerRequest(std::move(request));
     if (!read.ok()) {
         HttpReply reply =
-            makeProblem(statusOfBadRequest(read.status()), "bad-request", read.status());
+            makeProblem(httpStatusForBadRequest(read.status()), "bad-request", read.status());
         reply.headers.emplace_back("Harelink-Outcome", toText(Outcome::NotRun));
         responder(std::move(reply));
         return;
@@ -278,18 +278,19 @@
     const std::uint64_t sequence = m_nextSequence++;
     read->arrival.id = {m_incarnation, sequence};
     read->connection = connection;
-    workerOf(sequence).submit(*std::move(read), responder);
+    workerFor(sequence).submit(*std::move(read), responder);
 }
 
 void Daemon::handleOperator(const HttpRequest &request, const Responder &responder)
 {
     if (request.path == "/healthz") {
-        responder(plainReply(200, "ok\n"));
+        responder(makePlainReply(200, "ok\n"));
         return;
     }
     if (request.path == m_settings.readyPath) {
         const bool ready = m_control->ready() && !m_draining;
-        responder(plainReply(ready ? 200 : statusUnavailable, ready ? "ready\n" : "not ready\n"));
+        responder(
+            makePlainReply(ready ? 200 : statusUnavailable, ready ? "ready\n" : "not ready\n"));
         return;
     }
     if (request.path == "/v1/status") {
@@ -308,16 +309,16 @@
         replyMetrics(responder);
         return;
     }
-    responder(plainReply(statusNotFound, "no such path\n"));
+    responder(makePlainReply(statusNotFound, "no such path\n"));
 }
 
 void Daemon::handleDrain(const HttpRequest &request, const Responder &responder)
 {
     if (request.method != "POST") {
-        responder(plainReply(statusMethodNotAllowed, "only post is known here\n"));
+        responder(makePlainReply(statusMethodNotAllowed, "only post is known here\n"));
         return;
     }
-    responder(plainReply(statusAccepted, "stopping\n"));
+    responder(makePlainReply(statusAccepted, "stopping\n"));
     // Asked twice, it is still one planned stop.
     if (!m_stopRequested.exchange(true)) {
         m_requestStop();
@@ -326,11 +327,11 @@
 
 void Daemon::replyMetrics(const Responder &responder)
 {
-    auto gatherer = std::make_shared<MetricsGatherer>(m_workers.size() + 1, responder);
+    auto collector = std::make_shared<MetricsCollector>(m_workers.size() + 1, responder);
     for (const auto &worker : m_workers) {
-        worker->collectReport([gatherer](const WorkerReport &report) { gatherer->add(report); });
+        worker->collectReport([collector](const WorkerReport &report) { collector->add(report); });
     }
-    m_control->collectMetrics([gatherer](const std::string &text) { gatherer->add(text); });
+    m_control->collectMetrics([collector](const std::string &text) { collector->add(text); });
 }
 
 void Daemon::drain()
--- a/lib/Daemon/metrics.cpp
+++ b/lib/Daemon/metrics.cpp
@@ -10,7 +10,7 @@
 namespace harelink {
 namespace {
 
-const std::vector<double> &bounds()
+const std::vector<double> &bucketBounds()
 {
     static const std::vector<double> seconds = {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1,
                                                 0.25,  0.5,    1,     2,    4,     8,    16};
@@ -18,8 +18,8 @@
 }
 
 template <typename Value>
-void renderFamily(const std::string &name, const std::map<std::string, Value> &values,
-                  std::string &out)
+void renderCounters(const std::string &name, const std::map<std::string, Value> &values,
+                    std::string &out)
 {
     out += fmt::format("# TYPE {} counter\n", name);
     for (const auto &[labels, value] : values) {
@@ -56,7 +56,7 @@
 
 SecondsHistogram::SecondsHistogram()
     : m_counts(boost::histogram::make_histogram(
-        boost::histogram::axis::variable<double>(bounds().begin(), bounds().end())))
+        boost::histogram::axis::variable<double>(bucketBounds().begin(), bucketBounds().end())))
 {
 }
 
@@ -78,7 +78,7 @@
 {
     // Bin -1 lies below the first bound, the last one above the highest.
     double total = 0;
-    const auto &upper = bounds();
+    const auto &upper = bucketBounds();
     for (std::size_t i = 0; i < upper.size(); ++i) {
         total += m_counts.at(static_cast<int>(i) - 1);
         out += fmt::format("{}_bucket{{{},le=\"{}\"}} {}\n", name, labels, upper[i], total);
@@ -124,9 +124,9 @@
 
 void RequestMetrics::render(std::string &out) const
 {
-    renderFamily("harelink_requests_total", m_requests, out);
-    renderFamily("harelink_requests_attained_total", m_attained, out);
-    renderFamily("harelink_stage_cost_total", m_cost, out);
+    renderCounters("harelink_requests_total", m_requests, out);
+    renderCounters("harelink_requests_attained_total", m_attained, out);
+    renderCounters("harelink_stage_cost_total", m_cost, out);
     renderHistograms("harelink_stage_seconds", m_stageSeconds, out);
     renderHistograms("harelink_request_seconds", m_requestSeconds, out);
     renderHistograms("harelink_first_token_seconds", m_firstTokenSeconds, out);
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -13,7 +13,7 @@
 
 constexpr Logger logger("worker");
 
-RequestLimits limitsOf(const Settings &settings, const std::atomic<int> &daemons)
+RequestLimits makeRequestLimits(const Settings &settings, const std::atomic<int> &daemons)
 {
     RequestLimits limits;
     limits.maxRequests = settings.maxRequests;
@@ -34,7 +34,7 @@
     , m_dialect(dialect)
     , m_control(std::move(control))
     , m_machine(clock, Registry<RoutingPolicy>::instance().make(settings.routingPolicy), seed,
-                limitsOf(settings, daemons))
+                makeRequestLimits(settings, daemons))
 {
     for (const std::string &name : Registry<StageProtocol>::instance().names()) {
         m_protocols[name] = Registry<StageProtocol>::instance().make(name);
@@ -50,7 +50,7 @@
 {
     m_thread = std::thread([this] {
         const RcuThread registered;
-        m_loop.run(m_clock, [this] { return turn(); });
+        m_loop.run(m_clock, [this] { return runIteration(); });
     });
 }
 
@@ -63,23 +63,23 @@
 }
 
 template <typename Event>
-void Worker::feed(Event event)
+void Worker::dispatch(Event event)
 {
     {
         const SnapshotCell::Reader snapshot(m_snapshot);
         m_machine.handle(std::move(event), *snapshot);
     }
     // Only now: carrying out may block or start calls, which a reader must not.
-    carryOut();
+    performActions();
 }
 
-std::optional<TimePoint> Worker::turn()
+std::optional<TimePoint> Worker::runIteration()
 {
     {
         const SnapshotCell::Reader snapshot(m_snapshot);
         m_machine.tick(*snapshot);
     }
-    carryOut();
+    performActions();
     return m_machine.nextTick();
 }
 
@@ -105,19 +105,19 @@
             }
         }
         if (ready && !tokenMatches(request.token, expected)) {
-            refuseToken(request, responder);
+            rejectToken(request, responder);
             return;
         }
     }
     const Caller caller{responder, request.arrival.streams, false, proxied, request.connection};
-    m_byConnection[request.connection].push_back(request.arrival.id);
+    m_requestsByConnection[request.connection].push_back(request.arrival.id);
     const bool added = m_callers.emplace(request.arrival.id.sequence, caller).second;
     assert(added && "a request is submitted once");
     (void)added;
-    feed(std::move(request.arrival));
+    dispatch(std::move(request.arrival));
 }
 
-void Worker::refuseToken(const CallerRequest &request, const Responder &responder)
+void Worker::rejectToken(const CallerRequest &request, const Responder &responder)
 {
     HttpReply reply = makeProblem(401, "unauthorized",
                                   makeError(absl::StatusCode::kUnauthenticated, "admission", "",
@@ -130,52 +130,52 @@
 
 void Worker::handleClaimDecision(ClaimDecision decision)
 {
-    m_loop.post([this, decision = std::move(decision)] { feed(decision); });
+    m_loop.post([this, decision = std::move(decision)] { dispatch(decision); });
 }
 
 void Worker::handleEndpointEnded(const std::string &endpoint)
 {
-    m_loop.post([this, endpoint] { feed(EndpointEnded{endpoint}); });
+    m_loop.post([this, endpoint] { dispatch(EndpointEnded{endpoint}); });
 }
 
 void Worker::handleSuspectedRequest(const RequestSuspected &event)
 {
-    m_loop.post([this, event] { feed(event); });
+    m_loop.post([this, event] { dispatch(event); });
 }
 
 void Worker::handlePieceEnded(PieceEnded event)
 {
-    m_loop.post([this, event = std::move(event)] { feed(event); });
+    m_loop.post([this, event = std::move(event)] { dispatch(event); });
 }
 
 void Worker::handleConnectionClosed(std::uint64_t connection)
 {
     m_loop.post([this, connection] {
-        const auto found = m_byConnection.find(connection);
-        if (found == m_byConnection.end()) {
+        const auto found = m_requestsByConnection.find(connection);
+        if (found == m_requestsByConnection.end()) {
             return;
         }
         const std::vector<RequestId> requests = found->second;
         for (const RequestId &id : requests) {
-            feed(CallerGone{id});
+            dispatch(CallerGone{id});
         }
     });
 }
 
 void Worker::closeConnections()
 {
-    m_loop.post([this] { m_closesConnections = true; });
+    m_loop.post([this] { m_closeConnections = true; });
 }
 
-void Worker::forget(std::uint64_t sequence)
+void Worker::removeCaller(std::uint64_t sequence)
 {
     const auto caller = m_callers.find(sequence);
-    const auto requests = m_byConnection.find(caller->second.connection);
-    if (requests != m_byConnection.end()) {
+    const auto requests = m_requestsByConnection.find(caller->second.connection);
+    if (requests != m_requestsByConnection.end()) {
         std::erase_if(requests->second,
                       [sequence](const RequestId &id) { return id.sequence == sequence; });
         if (requests->second.empty()) {
-            m_byConnection.erase(requests);
+            m_requestsByConnection.erase(requests);
         }
     }
     m_callers.erase(caller);
@@ -193,18 +193,18 @@
             const SnapshotCell::Reader snapshot(m_snapshot);
             m_machine.abandonAll(*snapshot);
         }
-        carryOut();
+        performActions();
     });
 }
 
-void Worker::collectReport(std::function<void(WorkerReport)> take)
+void Worker::collectReport(std::function<void(WorkerReport)> callback)
 {
-    m_loop.post([this, take = std::move(take)] {
-        take({m_metrics, m_machine.counters(), m_machine.inProgress(), m_machine.queued()});
+    m_loop.post([this, callback = std::move(callback)] {
+        callback({m_metrics, m_machine.counters(), m_machine.inProgress(), m_machine.queued()});
     });
 }
 
-void Worker::carryOut()
+void Worker::performActions()
 {
     for (RequestAction &action : m_machine.drainActions()) {
         std::visit([this](auto &&what) { perform(std::forward<decltype(what)>(what)); },
@@ -222,7 +222,7 @@
 void Worker::perform(SendStage action)
 {
     if (action.proxied != nullptr) {
-        carry(action);
+        forwardProxied(action);
         return;
     }
     const CallId call = action.call;
@@ -233,7 +233,7 @@
         failure.status = makeError(
             absl::StatusCode::kFailedPrecondition, "stage " + action.stage, action.endpoint,
             "endpoints of protocol " + action.protocol + " take carried requests only");
-        feed(std::move(failure));
+        dispatch(std::move(failure));
         return;
     }
     const StageProtocol &translator = protocol(action.protocol);
@@ -246,23 +246,23 @@
     m_calls[call] = m_loop.http().send(
         http, [this, &translator, stage = std::move(action)](const HttpResult &result) {
             m_calls.erase(stage.call);
-            feedAny(decodeStage(translator, stage, result));
+            dispatchResult(decodeStage(translator, stage, result));
         });
 }
 
 /// Passes a request on unchanged, and its answer back as it comes.
-void Worker::carry(const SendStage &action)
+void Worker::forwardProxied(const SendStage &action)
 {
     const CallId call = action.call;
     const ProxiedDialect &dialect = *m_dialect.proxied();
     const auto stream = std::make_shared<ProxiedStream>(dialect, action);
     const auto done = [this, call, stream](HttpResult result) {
         m_calls.erase(call);
-        feedAny(stream->finish(std::move(result)));
+        dispatchResult(stream->finish(std::move(result)));
     };
     const auto part = [this, stream](const HttpResult &head, const std::string &body) {
         for (StageEvent &event : stream->take(head, body)) {
-            feed(std::move(event));
+            dispatch(std::move(event));
         }
     };
     m_calls[call] = m_loop.http().send(dialect.encode(action), done, part);
@@ -273,19 +273,20 @@
 {
     const auto done = [this, call, stream](const HttpResult &result) {
         m_calls.erase(call);
-        feedAny(stream->finish(result));
+        dispatchResult(stream->finish(result));
     };
     const auto part = [this, stream](const HttpResult &head, const std::string &body) {
-        for (StageChunk &piece : stream->take(head, body)) {
-            feed(std::move(piece));
+        for (StageChunk &chunk : stream->take(head, body)) {
+            dispatch(std::move(chunk));
         }
     };
     m_calls[call] = m_loop.http().send(http, done, part);
 }
 
-void Worker::feedAny(std::variant<StageAnswered, StageFailed> event)
+void Worker::dispatchResult(std::variant<StageAnswered, StageFailed> event)
 {
-    std::visit([this](auto &&what) { feed(std::forward<decltype(what)>(what)); }, std::move(event));
+    std::visit([this](auto &&what) { dispatch(std::forward<decltype(what)>(what)); },
+               std::move(event));
 }
 
 void Worker::perform(const CancelStage &action)
@@ -306,22 +307,22 @@
     const Caller &caller = found->second;
     if (caller.proxied) {
         answerProxied(caller, action);
-    } else if (caller.streamBegan) {
+    } else if (caller.streamStarted) {
         caller.responder(makeStreamEnd(action));
-    } else if (caller.wantsStream && action.outcome == Outcome::Completed) {
+    } else if (caller.acceptsStream && action.outcome == Outcome::Completed) {
         caller.responder(makeCompleteStream(action));
     } else {
         caller.responder(makeCallerReply(action));
     }
-    forget(action.id.sequence);
+    removeCaller(action.id.sequence);
 }
 
 void Worker::answerProxied(const Caller &caller, const AnswerCaller &action)
 {
     HttpReply reply;
-    if (!caller.streamBegan) {
+    if (!caller.streamStarted) {
         reply = m_dialect.proxied()->makeReply(action);
-        reply.close = m_closesConnections;
+        reply.close = m_closeConnections;
     } else if (action.outcome != Outcome::Completed) {
         reply.abort = true;
     }
@@ -362,12 +363,14 @@
     HttpReply part;
     if (action.head) {
         part = m_dialect.proxied()->makeHead(*action.head);
-        part.close = m_closesConnections;
-        caller.streamBegan = true;
+        part.close = m_closeConnections;
+        caller.streamStarted = true;
     }
     part.body = action.bytes;
     part.more = true;
-    part.onBroken = [this, id = action.id] { m_loop.post([this, id] { feed(CallerGone{id}); }); };
+    part.onBroken = [this, id = action.id] {
+        m_loop.post([this, id] { dispatch(CallerGone{id}); });
+    };
     caller.responder(std::move(part));
 }
 
@@ -426,9 +429,11 @@
     const auto found = m_callers.find(action.id.sequence);
     assert(found != m_callers.end() && "nothing is streamed after the answer's end");
     Caller &caller = found->second;
-    HttpReply part = caller.streamBegan ? makeStreamChunk(action) : makeFirstStreamChunk(action);
-    caller.streamBegan = true;
-    part.onBroken = [this, id = action.id] { m_loop.post([this, id] { feed(CallerGone{id}); }); };
+    HttpReply part = caller.streamStarted ? makeStreamChunk(action) : makeFirstStreamChunk(action);
+    caller.streamStarted = true;
+    part.onBroken = [this, id = action.id] {
+        m_loop.post([this, id] { dispatch(CallerGone{id}); });
+    };
     caller.responder(std::move(part));
 }
 
