--- a/include/harelink/Daemon/control.h
+++ b/include/harelink/Daemon/control.h
@@ -79,8 +79,8 @@
     void handleRequestCleared(const RequestCleared &request);
     /// Announces a planned stop to the peers; thread-safe.
     void leave();
-    /// Calls \p callback on the control thread, after all events posted before, with true if no
-    /// work is pending.
+    /// Calls \p callback on the control thread, after all events posted before, and passes
+    /// whether no work is pending.
     void queryIdle(std::function<void(bool)> callback);
     /// Calls \p callback on the control thread with the metrics as Prometheus text.
     void collectMetrics(std::function<void(std::string)> callback);
--- a/include/harelink/Support/clock.h
+++ b/include/harelink/Support/clock.h
@@ -1,8 +1,8 @@
 //===- harelink/Support/clock.h - Clock interface ---------------*- C++ -*-===//
 ///
 /// \file
-/// The clock handed to everything that decides by time. Nothing in the kernel
-/// reads a clock of the system.
+/// The clock that is injected into all code that depends on time. The kernel
+/// never reads a system clock itself.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,22 +13,22 @@
 
 namespace harelink {
 
-/// A point on the steady clock of one process, which counts the time for which its host was
-/// suspended; never compared between hosts, nor with std::chrono::steady_clock's own time.
+/// A point on the steady clock of one process. The clock includes the time for which the host
+/// was suspended. Not comparable between hosts, nor with std::chrono::steady_clock::now().
 using TimePoint = std::chrono::steady_clock::time_point;
-/// A point in calendar time; used only for retention and for reports.
+/// A point in wall-clock time; used only for retention and for reports.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
-/// A length of time.
+/// A duration on the steady clock.
 using Duration = std::chrono::steady_clock::duration;
 
-/// Tells the time; tests hand in a virtual one.
+/// Interface of a clock; tests use a virtual one.
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /// The steady time, for deadlines, leases and back-off.
+    /// Returns the steady time, for deadlines, leases and back-off.
     [[nodiscard]] virtual TimePoint now() const = 0;
-    /// The calendar time, for retention.
+    /// Returns the wall-clock time, for retention.
     [[nodiscard]] virtual WallTime wallNow() const = 0;
 };
 
@@ -40,7 +40,7 @@
     [[nodiscard]] WallTime wallNow() const override;
 };
 
-/// A clock that moves only when told to.
+/// A clock that advances only when a test advances it.
 class ManualClock final : public Clock
 {
 public:
@@ -50,16 +50,16 @@
         return WallTime(
             std::chrono::duration_cast<std::chrono::milliseconds>(m_now.time_since_epoch()));
     }
-    /// Moves the clock forward to \p now; it never goes back.
+    /// Advances the clock to \p now, which must not be earlier than now().
     void advanceTo(TimePoint now);
-    /// Moves the clock forward by \p step.
+    /// Advances the clock by \p step.
     void advance(Duration step) { advanceTo(m_now + step); }
 
 private:
     TimePoint m_now{std::chrono::hours(1)};
 };
 
-/// \p time in milliseconds, with fractions.
+/// Converts \p time to milliseconds, with fractions.
 [[nodiscard]] double toMilliseconds(Duration time);
 
 } // namespace harelink
--- a/include/harelink/Support/error.h
+++ b/include/harelink/Support/error.h
@@ -1,9 +1,9 @@
 //===- harelink/Support/error.h - Errors with step and peer -----*- C++ -*-===//
 ///
 /// \file
-/// absl::Status errors that carry the step at which and the peer with which
-/// they arose. All conversions between absl's string view, which is a type of
-/// its own in the packaged library, and std::string_view are here.
+/// absl::Status errors annotated with the step and the peer at which they
+/// occurred. This file also holds all conversions between std::string_view and
+/// absl::string_view, which is a separate type in the packaged library.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,19 +21,19 @@
 /// Builds an error.
 ///
 /// \param code the canonical code.
-/// \param step what was being done, for instance "stage encode".
-/// \param peer with whom: an endpoint, a host, a file; may be empty.
-/// \param message what went wrong; lower case, no full stop.
+/// \param step the operation that failed, for instance "stage encode".
+/// \param peer the other side: an endpoint, a host or a file; may be empty.
+/// \param message the error message; lower case, no full stop.
 [[nodiscard]] absl::Status makeError(absl::StatusCode code, std::string_view step,
                                      std::string_view peer, std::string_view message);
 
-/// The step at which \p status arose, or an empty text.
+/// Returns the step at which \p status occurred, or an empty string.
 [[nodiscard]] std::string errorStep(const absl::Status &status);
-/// The peer with which \p status arose, or an empty text.
+/// Returns the peer with which \p status occurred, or an empty string.
 [[nodiscard]] std::string errorPeer(const absl::Status &status);
-/// The message of \p status alone, without step and peer.
+/// Returns the message of \p status without step and peer.
 [[nodiscard]] std::string errorMessage(const absl::Status &status);
-/// "step at peer: message", for logs and the command line.
+/// Formats \p status as "step at peer: message" for logs and the command line.
 [[nodiscard]] std::string describeError(const absl::Status &status);
 
 } // namespace harelink
--- a/include/harelink/Support/hash.h
+++ b/include/harelink/Support/hash.h
@@ -1,8 +1,8 @@
 //===- harelink/Support/hash.h - Stable hashes ------------------*- C++ -*-===//
 ///
 /// \file
-/// Hashes that are the same in every process and on every machine: bucket and
-/// owner choices, key digests. xxHash does the work.
+/// Hashes that are identical in every process and on every host, for bucket and
+/// owner selection and for key digests. Based on xxHash.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 namespace harelink {
 
-/// A 128-bit hash of a text.
+/// A 128-bit hash.
 struct Hash128
 {
     std::uint64_t high = 0;
@@ -25,7 +25,7 @@
     auto operator<=>(const Hash128 &) const = default;
 
     template <typename H>
-    // Abseil looks for this very name.
+    // Abseil requires this exact name.
     // NOLINTNEXTLINE(readability-identifier-naming)
     friend H AbslHashValue(H state, const Hash128 &hash)
     {
@@ -33,15 +33,15 @@
     }
 };
 
-/// A 64-bit hash of \p text under \p seed.
+/// Returns a 64-bit hash of \p text with \p seed.
 [[nodiscard]] std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
-/// Maps a text uniformly to [0, 1].
+/// Maps the hash of \p text uniformly to [0, 1].
 [[nodiscard]] double unitHash(std::string_view text);
-/// A 128-bit hash of \p text.
+/// Returns a 128-bit hash of \p text.
 [[nodiscard]] Hash128 hash128(std::string_view text);
-/// Thirty-two lower-case hexadecimal digits.
+/// Formats \p hash as 32 lower-case hexadecimal digits.
 [[nodiscard]] std::string toHex(const Hash128 &hash);
-/// Reads what toHex() wrote.
+/// Parses the format of toHex(); returns std::nullopt if \p text is not in this format.
 [[nodiscard]] std::optional<Hash128> parseHash(std::string_view text);
 
 } // namespace harelink
--- a/include/harelink/Support/log.h
+++ b/include/harelink/Support/log.h
@@ -1,12 +1,12 @@
 //===- harelink/Support/log.h - Structured logs -----------------*- C++ -*-===//
 ///
 /// \file
-/// Lines of "name=value" fields on standard output, one for each event, behind the
-/// fixed prefix of the part that speaks. A request's content is never logged.
+/// Writes one line of "name=value" fields to standard output for each event. Each
+/// line names the component that wrote it. Request contents are never logged.
 ///
-/// Writing never blocks: where the reader of a pipe is slow, lines are dropped, and
-/// where they come faster than maxLogLinesPerSecond, as under a burst of refusals, the
-/// rest is dropped too. A later line tells how many.
+/// Writing never blocks. Lines are dropped if the reader of a pipe is slow, or if more
+/// than maxLogLinesPerSecond are written, as in a burst of refused requests. A later
+/// line reports the number of dropped lines.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,26 +20,27 @@
 
 namespace harelink {
 
-/// How urgent a line is.
+/// The severity of a log line.
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/// Lines of one process within a second; warnings and errors may take twice as many.
-/// At 250 bytes a line it bounds the volume to 75 kB a second.
+/// Rate limit of the log lines of one process; for warnings and errors it is twice as high.
+/// At 250 bytes per line the volume is limited to 75 kB per second.
 inline constexpr int maxLogLinesPerSecond = 300;
 
-/// Lines below \p level are dropped from now on; the default is Info.
+/// Sets the minimum severity of the lines that are written; the default is Info.
 void setLogLevel(LogLevel level);
-/// Whether lines of \p level are written.
+/// Returns whether lines of \p level are written.
 [[nodiscard]] bool logEnabled(LogLevel level);
-/// Writes one finished line of fields; prefer Logger.
+/// Writes one line of formatted fields; prefer Logger.
 void writeLogLine(LogLevel level, std::string_view part, std::string_view fields);
-/// How many lines were dropped since the start.
+/// Returns the number of lines dropped since the process started.
 [[nodiscard]] std::uint64_t droppedLogLines();
-/// \p value as a field's value: in quotes where it holds a space, a quote or a control
-/// character, which are escaped.
+/// Formats \p value as the value of a field. An empty value, or one with a space, a quote, an
+/// equals sign or a control character, is quoted: quotes and backslashes are escaped, control
+/// characters are replaced by spaces.
 [[nodiscard]] std::string logValue(std::string_view value);
 
-/// One line in the making; written when it goes out of scope.
+/// Collects the fields of one line and writes it on destruction.
 class LogRecord
 {
 public:
@@ -59,7 +60,7 @@
     LogRecord(const LogRecord &) = delete;
     LogRecord &operator=(const LogRecord &) = delete;
 
-    /// Adds a field; one with an empty text is left out.
+    /// Adds a field; a field with an empty value is omitted.
     template <typename Value>
     LogRecord &field(std::string_view name, const Value &value)
     {
@@ -84,17 +85,17 @@
     std::string m_fields;
 };
 
-/// Writes lines for one part of the program.
+/// Writes lines for one component of the program.
 class Logger
 {
 public:
-    /// \param part the fixed prefix; must outlive the logger.
+    /// \param part the name of the component; must outlive the logger.
     explicit constexpr Logger(std::string_view part)
         : m_part(part)
     {
     }
 
-    /// Begins a line about \p event, a short name as in "request-answered".
+    /// Starts a line for \p event, a short name such as "request-answered".
     [[nodiscard]] LogRecord record(LogLevel level, std::string_view event) const
     {
         return {level, m_part, event};
--- a/include/harelink/Support/logsearch.h
+++ b/include/harelink/Support/logsearch.h
@@ -1,8 +1,8 @@
-//===- harelink/Support/logsearch.h - Searching the logs --------*- C++ -*-===//
+//===- harelink/Support/logsearch.h - Log search ----------------*- C++ -*-===//
 ///
 /// \file
-/// Finds in the logs of several daemons what concerns one request: its own lines, and
-/// what the daemons that wrote them came to believe while it was in progress.
+/// Finds the log lines of several daemons that are relevant to one request: the lines
+/// that name it, and the state changes that the same daemons logged while it was in progress.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,33 +18,34 @@
 /// One line of a log.
 struct LogLine
 {
-    std::string source;        ///< The file, or the host where the line itself begins with one.
-    std::string time;          ///< As written, which sorts as time does; of the source's own clock.
-    std::string text;          ///< The fields behind the time.
-    bool namesRequest = false; ///< Names the request.
+    std::string source;        ///< The host if the line is prefixed with one, otherwise the file.
+    std::string time;          ///< Timestamp as logged, by the clock of the source; sorts by time.
+    std::string text;          ///< The fields after the time.
+    bool namesRequest = false; ///< Whether the line names the request.
 };
 
-/// Collects the lines that concern one request.
+/// Collects the lines that are relevant to one request.
 class LogSearch
 {
 public:
-    /// \param request its id, as callers or the daemon name it.
+    /// \param request the request id, either the caller's or the daemon's.
     explicit LogSearch(std::string request)
         : m_request(std::move(request))
     {
     }
-    /// Takes in one line of \p file.
+    /// Adds one line of \p file. Lines without a time and lines of other requests are ignored.
     void add(const std::string &file, const std::string &line);
-    /// The lines found, by time: the request's own, and those of the same sources between
-    /// the first and the last of these that name no request at all.
+    /// Returns the relevant lines, sorted by time: those that name the request, and those that
+    /// name no request and were logged by the same source between the first and the last line
+    /// of the request.
     [[nodiscard]] std::vector<LogLine> found() const;
 
 private:
     std::string m_request;
-    std::vector<LogLine> m_lines; ///< Own ones and those that name no request.
+    std::vector<LogLine> m_lines; ///< Lines of the request and lines that name no request.
 };
 
-/// The value of the field \p name of a line of fields; empty where there is none.
+/// Returns the value of field \p name in \p line, or an empty string if there is none.
 [[nodiscard]] std::string_view logField(std::string_view line, std::string_view name);
 
 } // namespace harelink
--- a/include/harelink/Support/random.h
+++ b/include/harelink/Support/random.h
@@ -1,8 +1,9 @@
 //===- harelink/Support/random.h - Seeded random numbers --------*- C++ -*-===//
 ///
 /// \file
-/// A seeded generator whose draws are the same on every machine: Boost.Random
-/// fixes both the engine and the distributions, the standard only the engine.
+/// A seeded random number generator with the same sequence on every platform:
+/// Boost.Random specifies both the engine and the distributions, the C++ standard
+/// only the engine.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,18 +16,18 @@
 
 namespace harelink {
 
-/// Draws random numbers from one seed.
+/// Generates random numbers from one seed.
 class Random
 {
 public:
     explicit Random(std::uint64_t seed);
-    /// A whole number in [0, \p bound); \p bound must be above 0.
+    /// Returns a uniform integer in [0, \p bound); \p bound must be positive.
     [[nodiscard]] std::uint64_t below(std::uint64_t bound);
-    /// True with probability \p probability.
+    /// Returns true with probability \p probability.
     [[nodiscard]] bool chance(double probability);
-    /// A number in [0, 1).
+    /// Returns a uniform number in [0, 1).
     [[nodiscard]] double unit();
-    /// Any 64 bits.
+    /// Returns 64 random bits.
     [[nodiscard]] std::uint64_t bits();
 
 private:
--- a/include/harelink/Support/text.h
+++ b/include/harelink/Support/text.h
@@ -1,4 +1,4 @@
-//===- harelink/Support/text.h - Small things with text ---------*- C++ -*-===//
+//===- harelink/Support/text.h - Text utilities -----------------*- C++ -*-===//
 
 #ifndef HARELINK_SUPPORT_TEXT_H
 #define HARELINK_SUPPORT_TEXT_H
@@ -8,7 +8,7 @@
 
 namespace harelink {
 
-/// \p text with its ASCII letters in lower case, as names of header fields are compared.
+/// Returns \p text with its ASCII letters in lower case, for comparing names of header fields.
 [[nodiscard]] std::string lowerCase(std::string_view text);
 
 } // namespace harelink
--- a/lib/Support/clock.cpp
+++ b/lib/Support/clock.cpp
@@ -9,9 +9,9 @@
 
 TimePoint SystemClock::now() const
 {
-    // The standard steady clock stands still while the host is suspended. Deadlines do not:
-    // after seconds of it callers are gone, and peers that seem to have spoken a moment ago
-    // are not.
+    // std::chrono::steady_clock does not advance while the host is suspended, but deadlines do:
+    // after a suspension of seconds callers have disconnected, and the last messages of peers
+    // are older than that clock would show.
     timespec time{};
     (void)clock_gettime(CLOCK_BOOTTIME, &time);
     return TimePoint(std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec));
@@ -25,7 +25,7 @@
 
 void ManualClock::advanceTo(TimePoint now)
 {
-    assert(now >= m_now && "a clock never goes back");
+    assert(now >= m_now && "a steady clock must not go backwards");
     m_now = now;
 }
 
--- a/lib/Support/hash.cpp
+++ b/lib/Support/hash.cpp
@@ -35,15 +35,16 @@
 
 std::optional<Hash128> parseHash(std::string_view text)
 {
-    constexpr int hexadecimal = 16;
-    constexpr std::size_t half = 16;
+    constexpr int hexBase = 16;
+    constexpr std::size_t digitsPerWord = 16;
     const bool isLowerHex = text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
-    if (text.size() != 2 * half || !isLowerHex) {
+    if (text.size() != 2 * digitsPerWord || !isLowerHex) {
         return std::nullopt;
     }
     Hash128 hash;
-    std::from_chars(text.data(), text.data() + half, hash.high, hexadecimal);
-    std::from_chars(text.data() + half, text.data() + 2 * half, hash.low, hexadecimal);
+    std::from_chars(text.data(), text.data() + digitsPerWord, hash.high, hexBase);
+    std::from_chars(text.data() + digitsPerWord, text.data() + 2 * digitsPerWord, hash.low,
+                    hexBase);
     return hash;
 }
 
--- a/lib/Support/log.cpp
+++ b/lib/Support/log.cpp
@@ -14,11 +14,11 @@
 namespace harelink {
 namespace {
 
-std::atomic<LogLevel> lowestLevel{LogLevel::Info};
+std::atomic<LogLevel> minimumLevel{LogLevel::Info};
 std::atomic<std::uint64_t> droppedLines{0};
-std::atomic<std::uint64_t> untoldDrops{0};
-/// The second that is counted, and the lines in it.
-std::atomic<std::int64_t> countedSecond{0};
+std::atomic<std::uint64_t> unreportedDrops{0};
+/// The current second of the rate limit, and the number of lines in it.
+std::atomic<std::int64_t> currentSecond{0};
 std::atomic<int> linesInSecond{0};
 
 std::string_view levelName(LogLevel level)
@@ -36,8 +36,8 @@
     return "error";
 }
 
-/// Pipes and sockets may have a slow reader; files and terminals are left as they are,
-/// for the setting would reach whoever shares them.
+/// Makes standard output non-blocking if it is a pipe or a socket, which may have a slow reader.
+/// Files and terminals stay unchanged, since the flag would affect other processes that share them.
 bool prepareOutput()
 {
     struct stat status
@@ -51,34 +51,34 @@
     return true;
 }
 
-/// Whether one more line fits into this second.
-bool takePlace(LogLevel level)
+/// Counts one line against the rate limit; returns whether it may be written.
+bool admitLine(LogLevel level)
 {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
     const std::int64_t second = std::chrono::duration_cast<std::chrono::seconds>(now).count();
-    if (countedSecond.exchange(second, std::memory_order_relaxed) != second) {
+    if (currentSecond.exchange(second, std::memory_order_relaxed) != second) {
         linesInSecond.store(0, std::memory_order_relaxed);
     }
-    const int most = level >= LogLevel::Warning ? maxLogLinesPerSecond * 2 : maxLogLinesPerSecond;
-    return linesInSecond.fetch_add(1, std::memory_order_relaxed) < most;
+    const int limit = level >= LogLevel::Warning ? maxLogLinesPerSecond * 2 : maxLogLinesPerSecond;
+    return linesInSecond.fetch_add(1, std::memory_order_relaxed) < limit;
 }
 
 void countDrop()
 {
     droppedLines.fetch_add(1, std::memory_order_relaxed);
-    untoldDrops.fetch_add(1, std::memory_order_relaxed);
+    unreportedDrops.fetch_add(1, std::memory_order_relaxed);
 }
 
 } // namespace
 
 void setLogLevel(LogLevel level)
 {
-    lowestLevel.store(level, std::memory_order_relaxed);
+    minimumLevel.store(level, std::memory_order_relaxed);
 }
 
 bool logEnabled(LogLevel level)
 {
-    return level >= lowestLevel.load(std::memory_order_relaxed);
+    return level >= minimumLevel.load(std::memory_order_relaxed);
 }
 
 std::uint64_t droppedLogLines()
@@ -112,22 +112,23 @@
 {
     static const bool prepared = prepareOutput();
     (void)prepared;
-    if (!takePlace(level)) {
+    if (!admitLine(level)) {
         countDrop();
         return;
     }
     const auto now =
         std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now());
     const auto millis = now.time_since_epoch().count() % 1000;
-    const std::uint64_t dropped = untoldDrops.exchange(0, std::memory_order_relaxed);
-    const std::string note = dropped == 0 ? std::string() : fmt::format(" dropped={}", dropped);
-    // One call, so that lines of several threads do not mix.
+    const std::uint64_t dropped = unreportedDrops.exchange(0, std::memory_order_relaxed);
+    const std::string dropNotice =
+        dropped == 0 ? std::string() : fmt::format(" dropped={}", dropped);
+    // A single write() keeps lines of several threads from interleaving.
     const std::string line = fmt::format("time={:%FT%T}.{:03}Z level={} part={} {}{}\n",
                                          fmt::gmtime(std::chrono::system_clock::to_time_t(now)),
-                                         millis, levelName(level), part, fields, note);
+                                         millis, levelName(level), part, fields, dropNotice);
     if (write(STDOUT_FILENO, line.data(), line.size()) < 0) {
         countDrop();
-        untoldDrops.fetch_add(dropped, std::memory_order_relaxed);
+        unreportedDrops.fetch_add(dropped, std::memory_order_relaxed);
     }
 }
 
--- a/lib/Support/logsearch.cpp
+++ b/lib/Support/logsearch.cpp
@@ -1,4 +1,4 @@
-//===- logsearch.cpp - Searching the logs ---------------------------------===//
+//===- logsearch.cpp - Log search -----------------------------------------===//
 
 #include "harelink/Support/logsearch.h"
 
@@ -12,7 +12,8 @@
 
 constexpr std::string_view timeField = "time=";
 
-/// The word before the time, as a collector of logs puts it: the host.
+/// Returns the word before the time, which is the host as added by a log collector, or \p file if
+/// there is none.
 std::string sourceOf(const std::string &file, std::string_view before)
 {
     while (!before.empty() && before.back() == ' ') {
@@ -28,16 +29,16 @@
 
 std::string_view logField(std::string_view line, std::string_view name)
 {
-    std::size_t at = 0;
-    while (at < line.size()) {
-        const std::size_t equals = line.find('=', at);
+    std::size_t offset = 0;
+    while (offset < line.size()) {
+        const std::size_t equals = line.find('=', offset);
         if (equals == std::string_view::npos) {
             return {};
         }
-        const std::string_view found = line.substr(at, equals - at);
+        const std::string_view found = line.substr(offset, equals - offset);
         std::size_t end = equals + 1;
         if (end < line.size() && line[end] == '"') {
-            // Quotes within the value are escaped.
+            // Quotes inside the value are escaped.
             for (++end; end < line.size() && line[end] != '"'; ++end) {
                 end += line[end] == '\\' ? 1 : 0;
             }
@@ -48,24 +49,24 @@
         if (found == name) {
             return line.substr(equals + 1, end - equals - 1);
         }
-        at = end + 1;
+        offset = end + 1;
     }
     return {};
 }
 
 void LogSearch::add(const std::string &file, const std::string &line)
 {
-    const std::size_t at = line.find(timeField);
-    if (at == std::string::npos) {
+    const std::size_t offset = line.find(timeField);
+    if (offset == std::string::npos) {
         return;
     }
-    const std::string_view fields = std::string_view(line).substr(at);
+    const std::string_view fields = std::string_view(line).substr(offset);
     const std::string_view request = logField(fields, "request");
     if (!request.empty() && request != m_request) {
         return;
     }
     LogLine found;
-    found.source = sourceOf(file, std::string_view(line).substr(0, at));
+    found.source = sourceOf(file, std::string_view(line).substr(0, offset));
     found.time = std::string(logField(fields, "time"));
     const std::size_t space = std::min(fields.find(' '), fields.size());
     found.text = std::string(fields.substr(std::min(space + 1, fields.size())));
--- a/lib/Support/random.cpp
+++ b/lib/Support/random.cpp
@@ -16,7 +16,7 @@
 
 std::uint64_t Random::below(std::uint64_t bound)
 {
-    assert(bound > 0 && "an empty range has no member");
+    assert(bound > 0 && "the range must not be empty");
     return boost::random::uniform_int_distribution<std::uint64_t>(0, bound - 1)(m_engine);
 }
 
--- a/lib/Support/text.cpp
+++ b/lib/Support/text.cpp
@@ -1,4 +1,4 @@
-//===- text.cpp - Small things with text ----------------------------------===//
+//===- text.cpp - Text utilities ------------------------------------------===//
 
 #include "harelink/Support/text.h"
 
