--- a/lib/Daemon/callerapi.cpp
+++ b/lib/Daemon/callerapi.cpp
@@ -1,4 +1,4 @@
-//===- callerapi.cpp - The callers' HTTP API ------------------------------===//
+//===- callerapi.cpp - HTTP API for callers -------------------------------===//
 
 #include "harelink/Daemon/callerapi.h"
 
@@ -55,7 +55,7 @@
     return absl::OkStatus();
 }
 
-/// The HTTP status that says \p reason best.
+/// Returns the HTTP status for the reason and the outcome of \p answer.
 int httpStatusFor(const AnswerCaller &answer)
 {
     switch (answer.reason) {
@@ -120,20 +120,20 @@
         return makeError(absl::StatusCode::kUnimplemented, "reading the request", "",
                          "only post is known here");
     }
-    CallerRequest read;
-    read.arrival.pipeline = parts[2];
-    read.arrival.account = request.header("harelink-account");
-    if (read.arrival.account.empty()) {
+    CallerRequest parsed;
+    parsed.arrival.pipeline = parts[2];
+    parsed.arrival.account = request.header("harelink-account");
+    if (parsed.arrival.account.empty()) {
         return badRequest("header harelink-account: is missing");
     }
-    read.arrival.idempotencyKey = request.header("idempotency-key");
-    if (read.arrival.idempotencyKey.size() > maxKeyLength
-        || !isPrintable(read.arrival.idempotencyKey)) {
+    parsed.arrival.idempotencyKey = request.header("idempotency-key");
+    if (parsed.arrival.idempotencyKey.size() > maxKeyLength
+        || !isPrintable(parsed.arrival.idempotencyKey)) {
         return badRequest(fmt::format(
             "header idempotency-key: must be at most {} printable characters", maxKeyLength));
     }
     const absl::Status deadline =
-        readDeadline(request.header("harelink-deadline-ms"), read.arrival);
+        readDeadline(request.header("harelink-deadline-ms"), parsed.arrival);
     if (!deadline.ok()) {
         return deadline;
     }
@@ -142,12 +142,12 @@
     }
     const std::string authorization = request.header("authorization");
     if (authorization.compare(0, bearerPrefix.size(), bearerPrefix) == 0) {
-        read.token = authorization.substr(bearerPrefix.size());
+        parsed.token = authorization.substr(bearerPrefix.size());
     }
-    read.arrival.streams = request.header("accept").find(eventStreamType) != std::string::npos;
-    read.arrival.traceparent = request.header("traceparent");
-    read.arrival.body = std::move(request.body);
-    return read;
+    parsed.arrival.streams = request.header("accept").find(eventStreamType) != std::string::npos;
+    parsed.arrival.traceparent = request.header("traceparent");
+    parsed.arrival.body = std::move(request.body);
+    return parsed;
 }
 
 HttpReply makeProblem(int status, std::string_view title, const absl::Status &error)
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -1,4 +1,4 @@
-//===- control.cpp - The control thread -----------------------------------===//
+//===- control.cpp - Control thread ---------------------------------------===//
 
 #include "harelink/Daemon/control.h"
 
@@ -19,12 +19,14 @@
 
 constexpr Logger logger("control");
 
-/// A connection that stands or is refused is known within a round trip; one that is not
-/// known by then says nothing of its endpoint.
+/// Timeout of connection probes. A connection is accepted or refused within a round trip; a
+/// probe without a result by then is inconclusive.
 constexpr std::chrono::milliseconds probeTimeout{500};
-/// A status check that takes longer says nothing: requests wait for it.
+/// Timeout of cold state checks, short because requests wait for the result. A check that takes
+/// longer is inconclusive.
 constexpr std::chrono::milliseconds coldCheckTimeout{200};
-/// Endpoints whose unreadable fields are logged; of others they are only counted.
+/// Maximum number of endpoints whose unreadable fields are logged; those of further endpoints
+/// are only counted.
 constexpr std::size_t maxLoggedUnreadableNotices = 1000;
 
 ControlOptions makeControlOptions(const Settings &settings, const Dialect &dialect,
@@ -37,7 +39,7 @@
     options.incarnation = incarnation;
     options.capacity = settings.capacity;
     options.claims.retention = settings.keyRetention;
-    // A proxied request belongs to one daemon alone, so nobody ever claims its key.
+    // A proxied request is handled by a single daemon, so its key is never claimed.
     options.keepsClaims = dialect.proxied() == nullptr;
     options.objects = &dialect.platform().objects();
     options.watchersPerDataCentre = static_cast<std::size_t>(settings.watchers);
@@ -46,7 +48,7 @@
     return options;
 }
 
-/// Calls \p visit with the name of the account, of the pool, and the load.
+/// Calls \p visit with the account name, the pool name and the load of each account at each pool.
 template <typename Visit>
 void forEachAccountLoad(const Snapshot &snapshot, const Visit &visit)
 {
@@ -57,7 +59,7 @@
     }
 }
 
-/// The load of \p account at \p pool, or null.
+/// Returns the load of \p account at \p pool, or nullptr if there is none.
 AccountLoad *findLoad(const Snapshot &snapshot, const std::string &account, const std::string &pool)
 {
     const AccountEntry *entry = snapshot.account(account);
@@ -68,7 +70,7 @@
     return found == entry->loads.end() ? nullptr : found->second.get();
 }
 
-/// Tells why a call has the pieces that it has, and what waits on.
+/// Logs the composition of a piece call and the reasons why other pieces still wait.
 void logPieceCall(const PieceCall &call)
 {
     const PieceCallStats &stats = call.stats;
@@ -84,11 +86,11 @@
         .field("longestWaitMs", static_cast<std::int64_t>(toMilliseconds(stats.longestWait)));
 }
 
-/// Tells of data centres that are drained from now on, or no more.
+/// Logs the data centres whose drain started or ended between two snapshots.
 void logDrainChanges(const Snapshot &before, const Snapshot &next)
 {
-    const auto tell = [&next](const char *event, const std::set<std::string> &dataCentres,
-                              const std::set<std::string> &others) {
+    const auto logDifference = [&next](const char *event, const std::set<std::string> &dataCentres,
+                                       const std::set<std::string> &others) {
         for (const std::string &dataCentre : dataCentres) {
             if (!others.contains(dataCentre)) {
                 logger.record(LogLevel::Info, event)
@@ -97,8 +99,8 @@
             }
         }
     };
-    tell("data-centre-drained", next.drainedDataCentres, before.drainedDataCentres);
-    tell("data-centre-taken-back", before.drainedDataCentres, next.drainedDataCentres);
+    logDifference("data-centre-drained", next.drainedDataCentres, before.drainedDataCentres);
+    logDifference("data-centre-taken-back", before.drainedDataCentres, next.drainedDataCentres);
 }
 
 } // namespace
@@ -133,7 +135,7 @@
     if (!listening.ok()) {
         return listening;
     }
-    // With port 0 in the settings only now is it known where peers find it.
+    // If the settings request port 0, the address for peers is known only after listening.
     const std::string ip = m_settings.peerAddress.substr(0, m_settings.peerAddress.rfind(':'));
     m_machine.setPeerAddress(fmt::format("{}:{}", ip, m_peers.port()));
     m_thread = std::thread([this] {
@@ -222,7 +224,7 @@
         .field("ageMs", fmt::format("{:.0f}", toMilliseconds(m_clock.now() - state.askedAt)));
 }
 
-/// Tells the workers whether changes of endpoints reach this daemon.
+/// Informs the workers whether this daemon receives updates of endpoints.
 void Control::recordEndpointUpdates()
 {
     const Snapshot &snapshot = m_snapshot.current();
@@ -294,7 +296,7 @@
     }
 }
 
-/// The same of an answer to a call of pieces.
+/// Handles the self-reported state in the answer to a piece call.
 void Control::handleNotice(const PieceCall &call, const PieceCallEnded &ended, TimePoint sentAt)
 {
     const EndpointEntry *endpoint = m_snapshot.current().endpoint(call.endpoint);
@@ -323,7 +325,7 @@
     });
 }
 
-/// Opens a connection to the endpoint and closes it again.
+/// Probes the endpoint by opening and closing a connection.
 void Control::probe(const EndpointProbe &probe)
 {
     HttpCall call;
@@ -388,7 +390,7 @@
     for (const HttpCall &call : m_dialect.pieces()->encodeFree(handles)) {
         m_loop.http().send(call, [url = call.url](const HttpResult &result) {
             if (result.status == 0) {
-                // Nothing is lost by it: results end by themselves.
+                // Not an error: unreleased results expire at the endpoint.
                 logger.record(LogLevel::Info, "results-not-freed")
                     .field("url", url)
                     .field("detail", result.error);
@@ -418,7 +420,7 @@
     }
 }
 
-/// Carries out what the router and the batcher want, until neither wants more.
+/// Performs the actions of the piece router and the batcher until neither has more.
 void Control::performPieceActions()
 {
     const Snapshot &snapshot = m_snapshot.current();
@@ -483,7 +485,7 @@
 {
     const PieceDialect &dialect = *m_dialect.pieces();
     const TimePoint sentAt = m_clock.now();
-    const auto done = [this, &dialect, call, sentAt](const HttpResult &result) {
+    const auto onDone = [this, &dialect, call, sentAt](const HttpResult &result) {
         const PieceCallEnded ended = dialect.decode(call, result);
         if (result.isBroken) {
             m_machine.handleBrokenPieceCall(call, sentAt);
@@ -499,7 +501,7 @@
         m_pieceBatcher.handle(ended, m_snapshot.current());
         performActions();
     };
-    m_loop.http().send(dialect.encode(call), done);
+    m_loop.http().send(dialect.encode(call), onDone);
 }
 
 void Control::performActions()
@@ -586,7 +588,7 @@
                          m_machine.rateShares(), m_clock.now());
 }
 
-/// Computes this daemon's parts anew: of rate limits in force, by the hosts now known.
+/// Recomputes this daemon's shares of the rate limits in force from the currently known hosts.
 void Control::applyLimits(const Snapshot &snapshot)
 {
     const RateShares shares = m_machine.rateShares();
@@ -610,8 +612,8 @@
     });
 }
 
-/// Tells of calls that the platform did not answer, or only by sending the caller away, and
-/// of objects in its answers that are nobody's.
+/// Logs platform calls that were unanswered or refused, or whose watch position is gone, and
+/// the number of objects in an answer that could not be read.
 void Control::logCall(const PlatformCall &call, const PlatformResult &result,
                       const HttpResult &http)
 {
@@ -637,21 +639,21 @@
         .field("detail", http.error);
 }
 
-/// Tells of peers that were heard of or fell silent since the last call; what the silent ones
-/// ordered is forgotten.
+/// Logs peers that became reachable or were lost since the previous call, and removes the piece
+/// orders of lost peers.
 void Control::handlePeerChanges()
 {
     const std::vector<std::string> &now = m_machine.membership().livePeers();
-    std::vector<std::string> heard;
+    std::vector<std::string> reachable;
     std::set_difference(now.begin(), now.end(), m_previousLivePeers.begin(),
-                        m_previousLivePeers.end(), std::back_inserter(heard));
-    std::vector<std::string> silent;
+                        m_previousLivePeers.end(), std::back_inserter(reachable));
+    std::vector<std::string> lost;
     std::set_difference(m_previousLivePeers.begin(), m_previousLivePeers.end(), now.begin(),
-                        now.end(), std::back_inserter(silent));
-    for (const std::string &host : heard) {
+                        now.end(), std::back_inserter(lost));
+    for (const std::string &host : reachable) {
         logger.record(LogLevel::Info, "peer-heard").field("host", host);
     }
-    for (const std::string &host : silent) {
+    for (const std::string &host : lost) {
         logger.record(LogLevel::Warning, "peer-silent").field("host", host);
         m_pieceBatcher.removeHost(host, m_snapshot.current());
     }
@@ -675,7 +677,7 @@
     const std::uint64_t revision = m_machine.config().revision();
     std::unique_ptr<const Snapshot> next =
         buildSnapshot(resources, revision, m_settings.dataCentre, &m_snapshot.current());
-    // Before anybody sees it, or a leaving endpoint would get work again.
+    // Must precede the publication, or a leaving endpoint would receive new work.
     for (const std::string &endpoint : m_machine.leavingEndpoints()) {
         markLeaving(*next, endpoint);
     }
--- a/lib/Daemon/daemon.cpp
+++ b/lib/Daemon/daemon.cpp
@@ -1,4 +1,4 @@
-//===- daemon.cpp - The whole daemon --------------------------------------===//
+//===- daemon.cpp - Daemon ------------------------------------------------===//
 
 #include "harelink/Daemon/daemon.h"
 
@@ -22,7 +22,8 @@
 constexpr int statusBadRequest = 400;
 constexpr int statusMethodNotAllowed = 405;
 constexpr int statusUnavailable = 503;
-/// Whatever a pipeline allows, a daemon of few megabytes takes in no more.
+/// Upper limit of request bodies, regardless of the limits of pipelines: a daemon runs with a few
+/// megabytes of memory.
 constexpr std::size_t maxCallerBodyBytes = 8'000'000;
 
 Incarnation generateIncarnation()
@@ -52,7 +53,7 @@
     return reply;
 }
 
-/// Collects the reports of all threads and replies when the last is in.
+/// Merges the reports of all threads and replies after the last one.
 class MetricsCollector
 {
 public:
@@ -127,7 +128,8 @@
     , m_incarnation(generateIncarnation())
     , m_dialect(Registry<Dialect>::instance().make(m_settings.dialect))
 {
-    assert(m_dialect != nullptr && "the settings were checked against the known dialects");
+    assert(m_dialect != nullptr
+           && "the dialect must be registered; the settings check ensures this");
     Control::WorkerSink workers;
     workers.claimDecided = [this](ClaimDecision decision) {
         const std::uint64_t sequence = decision.claimant.sequence;
@@ -237,7 +239,7 @@
 void Daemon::announceStop()
 {
     m_draining = true;
-    // Peers take over what this daemon forms calls for while it still serves.
+    // Peers take over the pools that this daemon batches for while it still serves requests.
     m_control->leave();
     for (const auto &worker : m_workers) {
         worker->closeConnections();
@@ -247,17 +249,17 @@
 void Daemon::handleProxied(const HttpRequest &request, const Responder &responder)
 {
     const std::uint64_t connection = request.connection;
-    absl::StatusOr<RequestArrived> read = m_dialect->proxied()->read(request);
-    if (!read.ok()) {
+    absl::StatusOr<RequestArrived> parsed = m_dialect->proxied()->read(request);
+    if (!parsed.ok()) {
         logger.record(LogLevel::Info, "request-unreadable")
             .field("target", request.target)
-            .field("detail", errorMessage(read.status()));
-        responder(m_dialect->proxied()->makeBadRequest(request, read.status()));
+            .field("detail", errorMessage(parsed.status()));
+        responder(m_dialect->proxied()->makeBadRequest(request, parsed.status()));
         return;
     }
     const std::uint64_t sequence = m_nextSequence++;
-    read->id = {m_incarnation, sequence};
-    workerFor(sequence).submit({*std::move(read), {}, connection}, responder);
+    parsed->id = {m_incarnation, sequence};
+    workerFor(sequence).submit({*std::move(parsed), {}, connection}, responder);
 }
 
 void Daemon::handleCaller(HttpRequest request, const Responder &responder)
@@ -267,18 +269,18 @@
         return;
     }
     const std::uint64_t connection = request.connection;
-    absl::StatusOr<CallerRequest> read = readCallerRequest(std::move(request));
-    if (!read.ok()) {
+    absl::StatusOr<CallerRequest> parsed = readCallerRequest(std::move(request));
+    if (!parsed.ok()) {
         HttpReply reply =
-            makeProblem(httpStatusForBadRequest(read.status()), "bad-request", read.status());
+            makeProblem(httpStatusForBadRequest(parsed.status()), "bad-request", parsed.status());
         reply.headers.emplace_back("Harelink-Outcome", toText(Outcome::NotRun));
         responder(std::move(reply));
         return;
     }
     const std::uint64_t sequence = m_nextSequence++;
-    read->arrival.id = {m_incarnation, sequence};
-    read->connection = connection;
-    workerFor(sequence).submit(*std::move(read), responder);
+    parsed->arrival.id = {m_incarnation, sequence};
+    parsed->connection = connection;
+    workerFor(sequence).submit(*std::move(parsed), responder);
 }
 
 void Daemon::handleOperator(const HttpRequest &request, const Responder &responder)
@@ -319,7 +321,7 @@
         return;
     }
     responder(makePlainReply(statusAccepted, "stopping\n"));
-    // Asked twice, it is still one planned stop.
+    // Repeated requests start only one planned stop.
     if (!m_stopRequested.exchange(true)) {
         m_requestStop();
     }
@@ -355,7 +357,7 @@
     if (inProgress > 0) {
         return false;
     }
-    // Asked last, behind the ends of claims that the workers handed over.
+    // Queried last, so that it follows the claim ends that the workers have posted.
     std::promise<bool> settled;
     m_control->queryIdle([&settled](bool idle) { settled.set_value(idle); });
     return settled.get_future().get();
--- a/lib/Daemon/metrics.cpp
+++ b/lib/Daemon/metrics.cpp
@@ -1,4 +1,4 @@
-//===- metrics.cpp - What operators watch ---------------------------------===//
+//===- metrics.cpp - Request metrics --------------------------------------===//
 
 #include "harelink/Daemon/metrics.h"
 
@@ -76,7 +76,7 @@
 void SecondsHistogram::render(const std::string &name, const std::string &labels,
                               std::string &out) const
 {
-    // Bin -1 lies below the first bound, the last one above the highest.
+    // Bin -1 is the underflow bin below the first bound; the last bin is the overflow bin.
     double total = 0;
     const auto &upper = bucketBounds();
     for (std::size_t i = 0; i < upper.size(); ++i) {
@@ -91,24 +91,24 @@
 
 void RequestMetrics::observe(const AnswerCaller &answer)
 {
-    // Names that nobody declared would let callers grow the metrics without bound.
+    // Undeclared names are not used as labels, or callers could create any number of time series.
     const bool declared =
         answer.reason != Reason::UnknownPipeline && answer.reason != Reason::UnknownAccount;
-    const std::string names =
+    const std::string accountLabels =
         declared ? fmt::format("pipeline=\"{}\",account=\"{}\"", answer.pipeline, answer.account)
                  : std::string("pipeline=\"\",account=\"\"");
-    ++m_requests[fmt::format("{},outcome=\"{}\",reason=\"{}\"", names, toText(answer.outcome),
-                             toText(answer.reason))];
+    ++m_requests[fmt::format("{},outcome=\"{}\",reason=\"{}\"", accountLabels,
+                             toText(answer.outcome), toText(answer.reason))];
     const bool attained = answer.outcome == Outcome::Completed && answer.elapsed <= answer.allowed;
-    m_attained[names] += attained ? 1 : 0;
-    m_requestSeconds[names].add(answer.elapsed);
+    m_attained[accountLabels] += attained ? 1 : 0;
+    m_requestSeconds[accountLabels].add(answer.elapsed);
     if (answer.tokens > 0) {
-        m_firstTokenSeconds[names].add(answer.timeToFirstChunk);
+        m_firstTokenSeconds[accountLabels].add(answer.timeToFirstChunk);
     }
     for (const StageCost &cost : answer.costs) {
-        const std::string stage = fmt::format("{},stage=\"{}\"", names, cost.stage);
-        m_cost[stage] += cost.cost;
-        m_stageSeconds[stage].add(cost.elapsed);
+        const std::string stageLabels = fmt::format("{},stage=\"{}\"", accountLabels, cost.stage);
+        m_cost[stageLabels] += cost.cost;
+        m_stageSeconds[stageLabels].add(cost.elapsed);
     }
 }
 
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -1,4 +1,4 @@
-//===- worker.cpp - A worker thread ---------------------------------------===//
+//===- worker.cpp - Worker thread -----------------------------------------===//
 
 #include "harelink/Daemon/worker.h"
 
@@ -69,7 +69,7 @@
         const SnapshotCell::Reader snapshot(m_snapshot);
         m_machine.handle(std::move(event), *snapshot);
     }
-    // Only now: carrying out may block or start calls, which a reader must not.
+    // After the read-side section: actions may block or start calls, which is not allowed inside.
     performActions();
 }
 
@@ -93,7 +93,7 @@
 void Worker::accept(CallerRequest request, const Responder &responder)
 {
     const bool proxied = request.arrival.proxied != nullptr;
-    // The API key of a proxied request is checked with its route.
+    // The API key of a proxied request is checked together with its route.
     if (!proxied && m_settings.callerTrust == CallerTrust::BearerToken) {
         std::string expected;
         bool ready = false;
@@ -112,7 +112,7 @@
     const Caller caller{responder, request.arrival.streams, false, proxied, request.connection};
     m_requestsByConnection[request.connection].push_back(request.arrival.id);
     const bool added = m_callers.emplace(request.arrival.id.sequence, caller).second;
-    assert(added && "a request is submitted once");
+    assert(added && "a request must be submitted only once");
     (void)added;
     dispatch(std::move(request.arrival));
 }
@@ -207,15 +207,19 @@
 void Worker::performActions()
 {
     for (RequestAction &action : m_machine.drainActions()) {
-        std::visit([this](auto &&what) { perform(std::forward<decltype(what)>(what)); },
-                   std::move(action));
+        std::visit(
+            [this](auto &&alternative) {
+                perform(std::forward<decltype(alternative)>(alternative));
+            },
+            std::move(action));
     }
 }
 
 const StageProtocol &Worker::protocol(const std::string &name)
 {
     const auto found = m_protocols.find(name);
-    assert(found != m_protocols.end() && "a pool's protocol was checked when it was declared");
+    assert(found != m_protocols.end()
+           && "the protocol must be registered; the check of the pool ensures this");
     return *found->second;
 }
 
@@ -236,57 +240,58 @@
         dispatch(std::move(failure));
         return;
     }
-    const StageProtocol &translator = protocol(action.protocol);
-    const HttpCall http = encodeStage(translator, action);
+    const StageProtocol &stageProtocol = protocol(action.protocol);
+    const HttpCall http = encodeStage(stageProtocol, action);
     logger.debug("Sending {} to {}.", toText(call), action.endpoint);
-    if (action.streams && translator.streams()) {
-        stream(call, http, std::make_shared<StageStream>(translator, action));
+    if (action.streams && stageProtocol.streams()) {
+        stream(call, http, std::make_shared<StageStream>(stageProtocol, action));
         return;
     }
     m_calls[call] = m_loop.http().send(
-        http, [this, &translator, stage = std::move(action)](const HttpResult &result) {
+        http, [this, &stageProtocol, stage = std::move(action)](const HttpResult &result) {
             m_calls.erase(stage.call);
-            dispatchResult(decodeStage(translator, stage, result));
+            dispatchResult(decodeStage(stageProtocol, stage, result));
         });
 }
 
-/// Passes a request on unchanged, and its answer back as it comes.
+/// Forwards a proxied request unchanged and streams its response back.
 void Worker::forwardProxied(const SendStage &action)
 {
     const CallId call = action.call;
     const ProxiedDialect &dialect = *m_dialect.proxied();
     const auto stream = std::make_shared<ProxiedStream>(dialect, action);
-    const auto done = [this, call, stream](HttpResult result) {
+    const auto onDone = [this, call, stream](HttpResult result) {
         m_calls.erase(call);
         dispatchResult(stream->finish(std::move(result)));
     };
-    const auto part = [this, stream](const HttpResult &head, const std::string &body) {
+    const auto onPart = [this, stream](const HttpResult &head, const std::string &body) {
         for (StageEvent &event : stream->take(head, body)) {
             dispatch(std::move(event));
         }
     };
-    m_calls[call] = m_loop.http().send(dialect.encode(action), done, part);
+    m_calls[call] = m_loop.http().send(dialect.encode(action), onDone, onPart);
 }
 
 void Worker::stream(const CallId &call, const HttpCall &http,
                     const std::shared_ptr<StageStream> &stream)
 {
-    const auto done = [this, call, stream](const HttpResult &result) {
+    const auto onDone = [this, call, stream](const HttpResult &result) {
         m_calls.erase(call);
         dispatchResult(stream->finish(result));
     };
-    const auto part = [this, stream](const HttpResult &head, const std::string &body) {
+    const auto onPart = [this, stream](const HttpResult &head, const std::string &body) {
         for (StageChunk &chunk : stream->take(head, body)) {
             dispatch(std::move(chunk));
         }
     };
-    m_calls[call] = m_loop.http().send(http, done, part);
+    m_calls[call] = m_loop.http().send(http, onDone, onPart);
 }
 
 void Worker::dispatchResult(std::variant<StageAnswered, StageFailed> event)
 {
-    std::visit([this](auto &&what) { dispatch(std::forward<decltype(what)>(what)); },
-               std::move(event));
+    std::visit(
+        [this](auto &&alternative) { dispatch(std::forward<decltype(alternative)>(alternative)); },
+        std::move(event));
 }
 
 void Worker::perform(const CancelStage &action)
@@ -301,7 +306,7 @@
 void Worker::perform(const AnswerCaller &action)
 {
     const auto found = m_callers.find(action.id.sequence);
-    assert(found != m_callers.end() && "a caller is answered exactly once");
+    assert(found != m_callers.end() && "a caller must be answered exactly once");
     m_metrics.observe(action);
     logAnswer(action);
     const Caller &caller = found->second;
@@ -331,18 +336,18 @@
 
 void Worker::logAnswer(const AnswerCaller &action) const
 {
-    const bool served = action.outcome == Outcome::Completed;
+    const bool completed = action.outcome == Outcome::Completed;
     logger.record(LogLevel::Info, "request-answered")
         .field("request", action.callerId.empty() ? toText(action.id) : action.callerId)
-        .field("digest", served ? std::string() : toHex(action.digest))
+        .field("digest", completed ? std::string() : toHex(action.digest))
         .field("pipeline", action.pipeline)
         .field("account", action.account)
         .field("outcome", toText(action.outcome))
         .field("status", action.proxied ? fmt::format("{}", action.proxied->status) : "")
-        .field("reason", served ? std::string_view() : toText(action.reason))
-        .field("step", served ? std::string() : errorStep(action.error))
-        .field("peer", served ? action.endpoint : errorPeer(action.error))
-        .field("detail", served ? std::string() : errorMessage(action.error))
+        .field("reason", completed ? std::string_view() : toText(action.reason))
+        .field("step", completed ? std::string() : errorStep(action.error))
+        .field("peer", completed ? action.endpoint : errorPeer(action.error))
+        .field("detail", completed ? std::string() : errorMessage(action.error))
         .field("sends", action.sends)
         .field("elapsedMs", fmt::format("{:.1f}", toMilliseconds(action.elapsed)))
         .field("allowedMs", fmt::format("{:.0f}", toMilliseconds(action.allowed)))
@@ -351,14 +356,15 @@
         .field("preparedMs", fmt::format("{:.1f}", toMilliseconds(action.prepared)))
         .field("firstEventMs", fmt::format("{:.1f}", toMilliseconds(action.timeToFirstChunk)))
         .field("events", action.tokens)
-        .field("retryAfterMs",
-               served ? std::string() : fmt::format("{:.0f}", toMilliseconds(action.retryAfter)));
+        .field("retryAfterMs", completed
+                                   ? std::string()
+                                   : fmt::format("{:.0f}", toMilliseconds(action.retryAfter)));
 }
 
 void Worker::perform(const StreamEvents &action)
 {
     const auto found = m_callers.find(action.id.sequence);
-    assert(found != m_callers.end() && "nothing is streamed after the answer's end");
+    assert(found != m_callers.end() && "nothing may be streamed after the final answer");
     Caller &caller = found->second;
     HttpReply part;
     if (action.head) {
@@ -427,7 +433,7 @@
 void Worker::perform(const StreamChunk &action)
 {
     const auto found = m_callers.find(action.id.sequence);
-    assert(found != m_callers.end() && "nothing is streamed after the answer's end");
+    assert(found != m_callers.end() && "nothing may be streamed after the final answer");
     Caller &caller = found->second;
     HttpReply part = caller.streamStarted ? makeStreamChunk(action) : makeFirstStreamChunk(action);
     caller.streamStarted = true;
