--- a/include/harelink/Daemon/control.h
+++ b/include/harelink/Daemon/control.h
@@ -129,7 +129,7 @@
     ControlMachine m_machine;
     PieceRouter m_pieceRouter;
     PieceBatcher m_pieceBatcher;
-    std::uint64_t m_unreadableEntries = 0; ///< Objects whose name could not be read.
+    std::uint64_t m_unreadableEntries = 0; ///< Objects without a readable name and version.
     std::uint64_t m_platformCalls = 0;
     std::uint64_t m_quarantines = 0; ///< Decided by this daemon.
     std::uint64_t m_coldChecks = 0;
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -613,7 +613,7 @@
 }
 
 /// Logs platform calls that were unanswered or refused, or whose watch position is gone, and
-/// the number of objects in an answer that could not be read.
+/// the number of objects in an answer without a readable name and version.
 void Control::logCall(const PlatformCall &call, const PlatformResult &result,
                       const HttpResult &http)
 {
--- a/unittests/Daemon/callerapitest.cpp
+++ b/unittests/Daemon/callerapitest.cpp
@@ -1,4 +1,4 @@
-//===- callerapitest.cpp - Tests of the callers' HTTP API -----------------===//
+//===- callerapitest.cpp - Tests of the HTTP API for callers --------------===//
 
 #include "harelink/Daemon/callerapi.h"
 #include "harelink/Adapters/eventstream.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-HttpRequest goodRequest()
+HttpRequest validRequest()
 {
     HttpRequest request;
     request.method = "POST";
@@ -26,15 +26,15 @@
     return request;
 }
 
-/// The message about a request whose header \p name is \p value.
-std::string faultOfHeader(const std::string &name, const std::string &value)
+/// Returns the error message for a request whose header \p name has \p value.
+std::string headerError(const std::string &name, const std::string &value)
 {
-    HttpRequest request = goodRequest();
+    HttpRequest request = validRequest();
     request.headers[name] = value;
     return errorMessage(readCallerRequest(std::move(request)).status());
 }
 
-AnswerCaller refusal(Reason reason, Outcome outcome)
+AnswerCaller makeRefusal(Reason reason, Outcome outcome)
 {
     AnswerCaller answer;
     answer.id = {1, 2};
@@ -45,7 +45,7 @@
     return answer;
 }
 
-std::string headerOf(const HttpReply &reply, const std::string &name)
+std::string findHeader(const HttpReply &reply, const std::string &name)
 {
     for (const auto &[header, value] : reply.headers) {
         if (header == name) {
@@ -59,42 +59,42 @@
 
 TEST_GROUP(CallerApi){};
 
-TEST(CallerApi, AGoodRequestIsReadWhole)
+TEST(CallerApi, ParsesAllFieldsOfAValidRequest)
 {
-    const auto read = readCallerRequest(goodRequest());
-    CHECK(read.ok());
-    STRCMP_EQUAL("gate-answer", read->arrival.pipeline.c_str());
-    STRCMP_EQUAL("drivers", read->arrival.account.c_str());
-    STRCMP_EQUAL("k1", read->arrival.idempotencyKey.c_str());
-    STRCMP_EQUAL("secret", read->token.c_str());
-    CHECK(read->arrival.timeAllowed == milliseconds(1500));
-    CHECK(!read->arrival.streams);
+    const auto parsed = readCallerRequest(validRequest());
+    CHECK(parsed.ok());
+    STRCMP_EQUAL("gate-answer", parsed->arrival.pipeline.c_str());
+    STRCMP_EQUAL("drivers", parsed->arrival.account.c_str());
+    STRCMP_EQUAL("k1", parsed->arrival.idempotencyKey.c_str());
+    STRCMP_EQUAL("secret", parsed->token.c_str());
+    CHECK(parsed->arrival.timeAllowed == milliseconds(1500));
+    CHECK(!parsed->arrival.streams);
 }
 
-TEST(CallerApi, AStreamIsAskedForByAccept)
+TEST(CallerApi, AcceptHeaderRequestsAStream)
 {
-    HttpRequest request = goodRequest();
+    HttpRequest request = validRequest();
     request.headers["accept"] = "text/event-stream";
     CHECK(readCallerRequest(std::move(request))->arrival.streams);
 }
 
-TEST(CallerApi, AFaultIsNamed)
+TEST(CallerApi, ErrorsNameTheInvalidHeaderOrBody)
 {
-    STRCMP_CONTAINS("harelink-account: is missing", faultOfHeader("harelink-account", "").c_str());
+    STRCMP_CONTAINS("harelink-account: is missing", headerError("harelink-account", "").c_str());
     STRCMP_CONTAINS("harelink-deadline-ms: must be",
-                    faultOfHeader("harelink-deadline-ms", "0").c_str());
+                    headerError("harelink-deadline-ms", "0").c_str());
     STRCMP_CONTAINS("harelink-deadline-ms: must be",
-                    faultOfHeader("harelink-deadline-ms", "5s").c_str());
+                    headerError("harelink-deadline-ms", "5s").c_str());
     STRCMP_CONTAINS("idempotency-key: must be",
-                    faultOfHeader("idempotency-key", std::string(201, 'k')).c_str());
-    STRCMP_CONTAINS("idempotency-key: must be", faultOfHeader("idempotency-key", "a\nb").c_str());
-    HttpRequest request = goodRequest();
+                    headerError("idempotency-key", std::string(201, 'k')).c_str());
+    STRCMP_CONTAINS("idempotency-key: must be", headerError("idempotency-key", "a\nb").c_str());
+    HttpRequest request = validRequest();
     request.body = "{";
     STRCMP_CONTAINS("not valid json",
                     errorMessage(readCallerRequest(std::move(request)).status()).c_str());
 }
 
-TEST(CallerApi, OnlyTheAccountsOwnTokenMatches)
+TEST(CallerApi, OnlyTheTokenOfTheAccountMatches)
 {
     // SHA-256 of "secret".
     const std::string hash = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
@@ -105,22 +105,22 @@
     CHECK(!tokenMatches("secret", hash.substr(1)));
 }
 
-TEST(CallerApi, ARefusalSaysWhatWhereAndWhenToComeBack)
+TEST(CallerApi, RefusalReportsStepPeerAndRetryAfter)
 {
-    const HttpReply reply = makeCallerReply(refusal(Reason::CannotFinish, Outcome::NotRun));
+    const HttpReply reply = makeCallerReply(makeRefusal(Reason::CannotFinish, Outcome::NotRun));
     CHECK_EQUAL(503, reply.status);
     STRCMP_EQUAL("application/problem+json", reply.contentType.c_str());
-    STRCMP_EQUAL("not-run", headerOf(reply, "Harelink-Outcome").c_str());
-    STRCMP_EQUAL("2", headerOf(reply, "Retry-After").c_str());
+    STRCMP_EQUAL("not-run", findHeader(reply, "Harelink-Outcome").c_str());
+    STRCMP_EQUAL("2", findHeader(reply, "Retry-After").c_str());
     const nlohmann::json problem = nlohmann::json::parse(reply.body);
     STRCMP_EQUAL("stage encode", problem["step"].get<std::string>().c_str());
     STRCMP_EQUAL("encoder-1", problem["peer"].get<std::string>().c_str());
 }
 
-TEST(CallerApi, StatusesFollowTheConventions)
+TEST(CallerApi, ReasonsMapToHttpStatusCodes)
 {
     const auto status = [](Reason reason, Outcome outcome) {
-        return makeCallerReply(refusal(reason, outcome)).status;
+        return makeCallerReply(makeRefusal(reason, outcome)).status;
     };
     CHECK_EQUAL(404, status(Reason::UnknownPipeline, Outcome::NotRun));
     CHECK_EQUAL(413, status(Reason::BodyTooLarge, Outcome::NotRun));
@@ -132,9 +132,9 @@
     CHECK_EQUAL(504, status(Reason::DeadlineExceeded, Outcome::Unknown));
 }
 
-TEST(CallerApi, AStreamEndsWithItsOutcome)
+TEST(CallerApi, LastEventOfAStreamCarriesTheOutcome)
 {
-    AnswerCaller answer = refusal(Reason::StageFailed, Outcome::Unknown);
+    AnswerCaller answer = makeRefusal(Reason::StageFailed, Outcome::Unknown);
     answer.tokens = 3;
     const HttpReply end = makeStreamEnd(answer);
     CHECK(!end.more);
@@ -146,7 +146,7 @@
     CHECK_EQUAL(3, event["tokens"].get<int>());
 }
 
-TEST(CallerApi, AStoredAnswerIsWholeAsAStreamToo)
+TEST(CallerApi, StoredAnswerIsReplayedAsACompleteStream)
 {
     AnswerCaller answer;
     answer.outcome = Outcome::Completed;
--- a/unittests/Support/logsearchtest.cpp
+++ b/unittests/Support/logsearchtest.cpp
@@ -1,4 +1,4 @@
-//===- logsearchtest.cpp - Tests of searching the logs --------------------===//
+//===- logsearchtest.cpp - Tests of the log search ------------------------===//
 
 #include "harelink/Support/logsearch.h"
 
@@ -8,14 +8,14 @@
 
 TEST_GROUP(LogSearch){};
 
-TEST(LogSearch, FieldsAreFoundBesideQuotedOnes)
+TEST(LogSearch, FindsFieldsAfterQuotedValues)
 {
     const char *line = "time=1 detail=\"a request=x \\\" b\" request=y";
     STRCMP_EQUAL("y", std::string(logField(line, "request")).c_str());
     STRCMP_EQUAL("", std::string(logField(line, "absent")).c_str());
 }
 
-TEST(LogSearch, OwnLinesOfAllSourcesAndBeliefsInBetweenAreFoundInOrder)
+TEST(LogSearch, FindsRequestLinesAndStateChangesBetweenThemInTimeOrder)
 {
     LogSearch search("r-1");
     search.add("a.log", "time=03 event=request-answered request=r-1");
@@ -32,7 +32,7 @@
     STRCMP_EQUAL("b.log", lines[2].source.c_str());
 }
 
-TEST(LogSearch, AHostBeforeTheTimeIsTheSource)
+TEST(LogSearch, HostBeforeTheTimeIsTheSource)
 {
     LogSearch search("r-1");
     search.add("all.log", "  12.5 front-1 time=01 event=request-answered request=r-1");
--- a/unittests/Support/logtest.cpp
+++ b/unittests/Support/logtest.cpp
@@ -13,22 +13,22 @@
 
 TEST_GROUP(Log){};
 
-TEST(Log, ValuesWithBlanksOrQuotesAreQuoted)
+TEST(Log, QuotesValuesWithSpacesOrQuotes)
 {
     STRCMP_EQUAL("plain", logValue("plain").c_str());
     STRCMP_EQUAL("\"two words\"", logValue("two words").c_str());
     STRCMP_EQUAL("\"a \\\"b\\\"\"", logValue("a \"b\"").c_str());
-    // A line break would begin a line that nobody wrote.
+    // Line breaks are replaced, or a value could forge a log line.
     STRCMP_EQUAL("\"a b\"", logValue("a\nb").c_str());
 }
 
-TEST(Log, AFullPipeBlocksNobodyAndTheLossIsCounted)
+TEST(Log, FullPipeDoesNotBlockAndDroppedLinesAreCounted)
 {
-    int ends[2];
-    CHECK(pipe(ends) == 0);
-    const int saved = dup(STDOUT_FILENO);
+    int pipeEnds[2];
+    CHECK(pipe(pipeEnds) == 0);
+    const int savedStdout = dup(STDOUT_FILENO);
     fflush(stdout);
-    dup2(ends[1], STDOUT_FILENO);
+    dup2(pipeEnds[1], STDOUT_FILENO);
     (void)fcntl(STDOUT_FILENO, F_SETFL, O_NONBLOCK);
     const std::uint64_t before = droppedLogLines();
     const auto begin = std::chrono::steady_clock::now();
@@ -37,11 +37,11 @@
     for (int i = 0; i < lines; ++i) {
         logger.record(LogLevel::Error, "filler").field("text", std::string(200, 'x'));
     }
-    const auto took = std::chrono::steady_clock::now() - begin;
-    dup2(saved, STDOUT_FILENO);
-    close(saved);
-    close(ends[0]);
-    close(ends[1]);
+    const auto elapsed = std::chrono::steady_clock::now() - begin;
+    dup2(savedStdout, STDOUT_FILENO);
+    close(savedStdout);
+    close(pipeEnds[0]);
+    close(pipeEnds[1]);
     CHECK(droppedLogLines() > before);
-    CHECK(took < std::chrono::seconds(5));
+    CHECK(elapsed < std::chrono::seconds(5));
 }
--- a/unittests/Support/supporttest.cpp
+++ b/unittests/Support/supporttest.cpp
@@ -19,10 +19,10 @@
     STRCMP_EQUAL("stage encode at encoder-1: refused", describeError(error).c_str());
 }
 
-TEST(Support, RandomDrawsAreTheSameOnEveryMachine)
+TEST(Support, RandomNumbersAreTheSameOnEveryPlatform)
 {
     Random random(42);
-    // Fixed by the definition of the engine and the distribution.
+    // The engine and the distribution specify these values.
     CHECK_EQUAL(13930160852258120406ULL, random.bits());
     CHECK_EQUAL(11788048577503494824ULL, random.bits());
     for (int i = 0; i < 1000; ++i) {
@@ -32,7 +32,7 @@
     }
 }
 
-TEST(Support, HashesAreFixed)
+TEST(Support, HashesAreStable)
 {
     STRCMP_EQUAL("99aa06d3014798d86001c324468d497f", toHex(hash128("")).c_str());
     CHECK(hash64("a", 1) != hash64("a", 2));
--- a/unittests/main.cpp
+++ b/unittests/main.cpp
@@ -4,9 +4,8 @@
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
 #if defined(__SANITIZE_THREAD__)
-/// The packaged ZeroMQ is not built for the thread sanitizer, so that how it hands
-/// messages from its threads to ours is not seen and looks like a race. Reports with a
-/// frame of that library are left out, and no others.
+/// The packaged ZeroMQ is not instrumented for ThreadSanitizer, so its message passing between
+/// threads is reported as a data race. Only reports with a frame of that library are suppressed.
 extern "C" const char *__tsan_default_suppressions() // NOLINT
 {
     return "race:libzmq.so\n";
@@ -15,8 +14,8 @@
 
 int main(int argc, char **argv)
 {
-    // Libraries build statics on first use, which would count as leaks. Leaks
-    // are found by the build under AddressSanitizer instead.
+    // Libraries create static objects on first use, which CppUTest would report as leaks. The
+    // build with AddressSanitizer detects leaks instead.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
