--- a/include/harelink/Config/objectreader.h
+++ b/include/harelink/Config/objectreader.h
@@ -30,7 +30,7 @@
     [[nodiscard]] virtual const std::string &endpointKind() const = 0;
     /// Whether objects of that kind may vanish while the platform is out of reach and
     /// come back after it, though their endpoints live.
-    [[nodiscard]] virtual bool endpointsLapse() const = 0;
+    [[nodiscard]] virtual bool endpointObjectsExpire() const = 0;
     /// The kind in which daemons declare a QuarantineSpec, as quarantineDocument() gives it.
     [[nodiscard]] virtual const std::string &quarantineKind() const = 0;
     /// The kind in which operators declare a DataCentreDrainSpec.
@@ -41,7 +41,7 @@
 };
 
 /// The reader of the product's own form.
-[[nodiscard]] const ObjectReader &ownObjectReader();
+[[nodiscard]] const ObjectReader &defaultObjectReader();
 
 } // namespace harelink
 
--- a/include/harelink/Config/resources.h
+++ b/include/harelink/Config/resources.h
@@ -26,9 +26,9 @@
 namespace harelink {
 
 /// The largest value that the platform's object API holds, in bytes.
-inline constexpr std::size_t largestObject = 1'000'000;
+inline constexpr std::size_t maxObjectBytes = 1'000'000;
 /// The most stages a pipeline may have.
-inline constexpr std::size_t mostStages = 6;
+inline constexpr std::size_t maxStages = 6;
 
 /// One stage of a pipeline.
 struct StageSpec
@@ -61,15 +61,15 @@
     std::string pathPrefix; ///< Begins and ends with a slash.
     std::vector<WeightedPool> split;
     std::vector<PieceStageSpec> pieceStages;
-    bool streams = false;            ///< Answers are events, passed on one by one.
-    bool resumable = false;          ///< A broken stream may go on elsewhere at its next event.
-    bool isPublic = false;           ///< No API key is asked for.
-    std::uint32_t mostEndpoints = 1; ///< That one request may be sent to.
-    int priority = 0;                ///< 0 is the most urgent.
-    std::chrono::milliseconds objective{1000}; ///< Wanted until the answer, or its first event.
-    std::chrono::milliseconds longestPause{0}; ///< Wanted between two events; 0 for none.
+    bool streams = false;           ///< Answers are events, passed on one by one.
+    bool resumable = false;         ///< A broken stream may go on elsewhere at its next event.
+    bool isPublic = false;          ///< No API key is asked for.
+    std::uint32_t maxEndpoints = 1; ///< That one request may be sent to.
+    int priority = 0;               ///< 0 is the most urgent.
+    std::chrono::milliseconds objective{1000};     ///< Wanted until the answer, or its first event.
+    std::chrono::milliseconds maxEventInterval{0}; ///< Wanted between two events; 0 for none.
     /// A caller to whom nothing came for so long leaves; 0 where it waits for its deadline.
-    std::chrono::milliseconds patience{0};
+    std::chrono::milliseconds clientTimeout{0};
     /// Its requests are served in these regions only; empty where that is all the same.
     std::vector<std::string> allowedRegions;
 };
@@ -78,10 +78,10 @@
 struct PipelineSpec
 {
     std::string name;
-    std::vector<StageSpec> stages;            ///< From 1 to mostStages.
+    std::vector<StageSpec> stages;            ///< From 1 to maxStages.
     bool repeatable = true;                   ///< False: runs at most once per idempotency key.
     std::chrono::milliseconds deadline{4000}; ///< Where the caller names none.
-    std::size_t largestBody = 65536;          ///< Of a caller's body, in bytes.
+    std::size_t maxBodyBytes = 65536;         ///< Of a caller's body, in bytes.
     /// Its requests are carried unchanged; stages then is empty until a pool is drawn
     /// from the split.
     std::optional<RouteSpec> route;
@@ -111,12 +111,12 @@
 /// How the endpoints of a pool work on pieces: several in one call.
 struct PieceWorkSpec
 {
-    std::uint32_t batch = 1;                 ///< Most pieces in a call.
-    std::uint32_t queue = 0;                 ///< Calls that an endpoint lets wait.
-    std::chrono::microseconds callTime{0};   ///< Of a call, whatever is in it.
-    std::chrono::microseconds pieceTime{0};  ///< About, for each piece besides.
-    std::uint64_t roomBytes = 0;             ///< For results at one endpoint.
-    std::chrono::milliseconds resultLife{0}; ///< A result is kept so long if not freed.
+    std::uint32_t batch = 1;                ///< Most pieces in a call.
+    std::uint32_t queue = 0;                ///< Calls that an endpoint lets wait.
+    std::chrono::microseconds callTime{0};  ///< Of a call, whatever is in it.
+    std::chrono::microseconds pieceTime{0}; ///< About, for each piece besides.
+    std::uint64_t resultBufferBytes = 0;    ///< For results at one endpoint.
+    std::chrono::milliseconds resultTtl{0}; ///< A result is kept so long if not freed.
 };
 
 /// What one model engine of a pool holds.
@@ -129,9 +129,9 @@
 struct PoolSpec
 {
     std::string name;
-    std::string protocol;      ///< Name of a stage protocol plug-in.
-    double costPerSecond = 1;  ///< Price of a second of an endpoint's time.
-    bool keepsPrompts = false; ///< Its endpoints are faster on a prompt they saw lately.
+    std::string protocol;        ///< Name of a stage protocol plug-in.
+    double costPerSecond = 1;    ///< Price of a second of an endpoint's time.
+    bool hasPromptCache = false; ///< Its endpoints are faster on a prompt they saw lately.
     std::optional<PieceWorkSpec> pieces;
     std::optional<ModelEngineSpec> engine;
     /// So long an endpoint that has started is cold, where it does not say.
@@ -162,7 +162,7 @@
     WallTime startedAt;   ///< The beginning of this life; the epoch where it does not tell.
 
     /// What it is asked to be, and what it is placed by: the same in each of its lives.
-    [[nodiscard]] const std::string &lastingName() const
+    [[nodiscard]] const std::string &stableName() const
     {
         return identity.empty() ? name : identity;
     }
@@ -208,7 +208,7 @@
     nlohmann::json document; ///< The whole declaration, as it is stored.
     /// The version that the declaration was made from, where it says so: it may
     /// replace no other. Not part of what is stored.
-    std::optional<std::uint64_t> madeFrom;
+    std::optional<std::uint64_t> baseVersion;
 };
 
 /// The declaration of \p spec, as readResource() reads it.
--- a/include/harelink/Config/settings.h
+++ b/include/harelink/Config/settings.h
@@ -64,7 +64,7 @@
     std::chrono::milliseconds platformTimeout{1000}; ///< After it a call counts as silent.
     std::chrono::milliseconds drainLimit{10'000};    ///< A planned stop takes no longer.
     /// Requests under which endpoints ended are not run for so long, unless it is lifted.
-    std::chrono::milliseconds quarantineLength{86'400'000};
+    std::chrono::milliseconds quarantineDuration{86'400'000};
     std::chrono::milliseconds keyRetention{86'400'000}; ///< An idempotency key is remembered.
     /// A caller's connection may be silent so long between two requests.
     std::chrono::milliseconds idleLimit{120'000};
--- a/include/harelink/Kernel/configmachine.h
+++ b/include/harelink/Kernel/configmachine.h
@@ -53,7 +53,7 @@
     using Key = std::pair<std::string, std::string>; ///< Kind and name.
 
     /// \param reader parses the objects; must outlive the table.
-    explicit BasicConfigTable(const ObjectReader &reader = ownObjectReader())
+    explicit BasicConfigTable(const ObjectReader &reader = defaultObjectReader())
         : m_reader(reader)
     {
     }
--- a/include/harelink/Kernel/configmachineimpl.h
+++ b/include/harelink/Kernel/configmachineimpl.h
@@ -359,7 +359,7 @@
 {
     const ObjectReader &reader = m_table.reader();
     const bool mayHaveLapsed =
-        update.deleted && reader.endpointsLapse() && update.kind == reader.endpointKind();
+        update.deleted && reader.endpointObjectsExpire() && update.kind == reader.endpointKind();
     const bool justReconnected =
         m_reconnectedAt != TimePoint::min()
         && m_clock.now() - m_reconnectedAt < configwatcher::lapseGracePeriod;
--- a/include/harelink/Kernel/controlmachine.h
+++ b/include/harelink/Kernel/controlmachine.h
@@ -62,8 +62,8 @@
     Incarnation incarnation = 0;
     ClaimLedgerOptions claims;
     bool keepsClaims = true; ///< Whether requests with idempotency keys are accepted.
-    const ObjectReader *objects = &ownObjectReader(); ///< Must outlive the machine.
-    std::size_t watchersPerDataCentre = 2;            ///< Daemons that watch the platform.
+    const ObjectReader *objects = &defaultObjectReader(); ///< Must outlive the machine.
+    std::size_t watchersPerDataCentre = 2;                ///< Daemons that watch the platform.
     /// The kind of object in which this daemon declares itself to its peers; empty if the
     /// platform lists its hosts itself.
     std::string hostKind;
--- a/include/harelink/Kernel/requestdispatchimpl.h
+++ b/include/harelink/Kernel/requestdispatchimpl.h
@@ -278,7 +278,7 @@
 const EndpointEntry *BasicRequestMachine<G>::preferredEndpoint(const Request &request,
                                                                const PoolEntry &pool)
 {
-    if (!pool.spec.keepsPrompts) {
+    if (!pool.spec.hasPromptCache) {
         return nullptr;
     }
     if (request.proxied) {
@@ -331,7 +331,7 @@
     SendStage action;
     action.call = request.call();
     action.endpoint = endpoint.spec.name;
-    action.endpointIdentity = endpoint.spec.lastingName();
+    action.endpointIdentity = endpoint.spec.stableName();
     action.address = endpoint.spec.address;
     action.protocol = pool.spec.protocol;
     action.stage = request.stageSpec().name;
--- a/include/harelink/Kernel/requestmachineimpl.h
+++ b/include/harelink/Kernel/requestmachineimpl.h
@@ -137,9 +137,9 @@
                        "there is no such client account");
     }
     const std::size_t bytes = event.proxied ? event.proxied->body.size() : event.body.size();
-    if (bytes > pipeline->largestBody) {
+    if (bytes > pipeline->maxBodyBytes) {
         return refusal(Reason::BodyTooLarge, absl::StatusCode::kInvalidArgument, "admission", "",
-                       fmt::format("the body is larger than {} bytes", pipeline->largestBody));
+                       fmt::format("the body is larger than {} bytes", pipeline->maxBodyBytes));
     }
     if (!event.proxied && !pipeline->repeatable && event.idempotencyKey.empty()) {
         return refusal(Reason::KeyMissing, absl::StatusCode::kInvalidArgument, "admission", "",
--- a/include/harelink/Kernel/requestproxiedimpl.h
+++ b/include/harelink/Kernel/requestproxiedimpl.h
@@ -67,8 +67,8 @@
     request.objectiveAt =
         std::min<TimePoint>(request.deadline, now + route.objective - request.timeSpent);
     Duration clientTimeout = request.deadline - now;
-    if (route.patience > Duration::zero()) {
-        clientTimeout = std::min<Duration>(clientTimeout, route.patience);
+    if (route.clientTimeout > Duration::zero()) {
+        clientTimeout = std::min<Duration>(clientTimeout, route.clientTimeout);
     }
     const auto preparationTime = std::min<std::chrono::duration<double>>(
         clientTimeout * requestmachine::preparationTimeoutShare,
@@ -566,7 +566,7 @@
     if (mayHaveRun && !request.pipeline.repeatable && G::retriesOnlyRepeatable) {
         return false;
     }
-    const std::uint32_t maxRuns = request.pipeline.route->mostEndpoints;
+    const std::uint32_t maxRuns = request.pipeline.route->maxEndpoints;
     if (mayHaveRun && request.possibleRuns >= maxRuns) {
         return false;
     }
--- a/lib/Config/objectreader.cpp
+++ b/lib/Config/objectreader.cpp
@@ -10,7 +10,7 @@
 namespace harelink {
 namespace {
 
-class OwnObjectReader final : public ObjectReader
+class DefaultObjectReader final : public ObjectReader
 {
 public:
     [[nodiscard]] const std::vector<std::vector<std::string>> &kindGroups() const override
@@ -23,7 +23,7 @@
         static const std::string kind = "Endpoint";
         return kind;
     }
-    [[nodiscard]] bool endpointsLapse() const override { return false; }
+    [[nodiscard]] bool endpointObjectsExpire() const override { return false; }
     [[nodiscard]] const std::string &quarantineKind() const override
     {
         static const std::string kind = "Quarantine";
@@ -56,9 +56,9 @@
 
 } // namespace
 
-const ObjectReader &ownObjectReader()
+const ObjectReader &defaultObjectReader()
 {
-    static const OwnObjectReader reader;
+    static const DefaultObjectReader reader;
     return reader;
 }
 
--- a/lib/Config/resources.cpp
+++ b/lib/Config/resources.cpp
@@ -31,10 +31,10 @@
 std::vector<PieceStageSpec> readPieceStages(JsonReader &reader)
 {
     std::vector<PieceStageSpec> stages;
-    for (JsonReader &stage : reader.objects("pieceStages", 0, mostStages)) {
+    for (JsonReader &stage : reader.objects("pieceStages", 0, maxStages)) {
         PieceStageSpec next;
         next.pool = stage.name("pool");
-        for (const std::int64_t before : stage.integers("after", 0, std::int64_t(mostStages))) {
+        for (const std::int64_t before : stage.integers("after", 0, std::int64_t(maxStages))) {
             if (static_cast<std::size_t>(before) >= stages.size()) {
                 stage.fault("after", "may name earlier stages only");
             }
@@ -65,14 +65,15 @@
     spec.streams = reader.boolean("streams", false);
     spec.resumable = reader.boolean("resumable", false);
     spec.isPublic = reader.boolean("public", false);
-    spec.mostEndpoints =
+    spec.maxEndpoints =
         static_cast<std::uint32_t>(reader.integer("mostEndpoints", 1, mostEndpointsTried, 1));
     spec.priority = static_cast<int>(reader.integer("priority", 0, mostPriority, 0));
     spec.objective =
         reader.milliseconds("objectiveMs", shortestDeadline, longestDeadline, spec.objective);
-    spec.longestPause =
-        reader.milliseconds("longestPauseMs", milliseconds(0), longestTime, spec.longestPause);
-    spec.patience = reader.milliseconds("patienceMs", milliseconds(0), longestTime, spec.patience);
+    spec.maxEventInterval =
+        reader.milliseconds("longestPauseMs", milliseconds(0), longestTime, spec.maxEventInterval);
+    spec.clientTimeout =
+        reader.milliseconds("patienceMs", milliseconds(0), longestTime, spec.clientTimeout);
     spec.allowedRegions = reader.texts("allowedRegions");
     reader.finish();
     return spec;
@@ -87,7 +88,7 @@
     }
     std::set<std::string> seen;
     const std::size_t leastStages = spec.route ? 0 : 1;
-    for (JsonReader &stage : reader.objects("stages", leastStages, spec.route ? 0 : mostStages)) {
+    for (JsonReader &stage : reader.objects("stages", leastStages, spec.route ? 0 : maxStages)) {
         StageSpec next{stage.name("name"), stage.name("pool")};
         if (!seen.insert(next.name).second) {
             stage.fault("name", "stands twice in this pipeline");
@@ -98,8 +99,8 @@
     spec.repeatable = reader.boolean("repeatable", true);
     spec.deadline =
         reader.milliseconds("deadlineMs", shortestDeadline, longestDeadline, spec.deadline);
-    spec.largestBody = static_cast<std::size_t>(
-        reader.integer("largestBodyBytes", 1, largestObject, std::int64_t(spec.largestBody)));
+    spec.maxBodyBytes = static_cast<std::size_t>(
+        reader.integer("largestBodyBytes", 1, maxObjectBytes, std::int64_t(spec.maxBodyBytes)));
     return spec;
 }
 
@@ -137,8 +138,9 @@
     const double pieceMs = reader.number("pieceMs", 0, static_cast<double>(longestTime.count()), 0);
     spec.pieceTime = std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::duration<double, std::milli>(pieceMs));
-    spec.roomBytes = static_cast<std::uint64_t>(reader.integer("roomBytes", 0, largestRoom, 0));
-    spec.resultLife =
+    spec.resultBufferBytes =
+        static_cast<std::uint64_t>(reader.integer("roomBytes", 0, largestRoom, 0));
+    spec.resultTtl =
         reader.milliseconds("resultLifeMs", milliseconds(0), longestTime, milliseconds(0));
     reader.finish();
     return spec;
@@ -159,7 +161,7 @@
     spec.protocol = reader.choice(
         "protocol", {"model-engine", "stage-pool", "plain-service", "carried", "pieces"});
     spec.costPerSecond = reader.number("costPerSecond", 0, heaviestWeight, 1);
-    spec.keepsPrompts = reader.boolean("keepsPrompts", false);
+    spec.hasPromptCache = reader.boolean("keepsPrompts", false);
     if (reader.has("pieces")) {
         spec.pieces = readPieceWork(reader.object("pieces"));
     }
@@ -266,7 +268,7 @@
     resource.kind = reader.choice("kind", resourceKinds());
     resource.name = reader.name("name");
     if (reader.has("version")) {
-        resource.madeFrom = static_cast<std::uint64_t>(
+        resource.baseVersion = static_cast<std::uint64_t>(
             reader.integer("version", 1, std::numeric_limits<std::int64_t>::max()));
     }
     JsonReader spec = reader.object("spec");
@@ -275,8 +277,8 @@
         resource.spec = readSpec(resource.kind, resource.name, spec);
         spec.finish();
     }
-    if (document.dump().size() > largestObject) {
-        faults.push_back(fmt::format("is larger than {} bytes", largestObject));
+    if (document.dump().size() > maxObjectBytes) {
+        faults.push_back(fmt::format("is larger than {} bytes", maxObjectBytes));
     }
     if (!faults.empty()) {
         return makeError(absl::StatusCode::kInvalidArgument, "checking", origin,
--- a/lib/Config/settings.cpp
+++ b/lib/Config/settings.cpp
@@ -34,8 +34,8 @@
                                                    settings.platformTimeout);
     settings.drainLimit =
         reader.milliseconds("drainLimitMs", milliseconds(0), oneMinute * 10, settings.drainLimit);
-    settings.quarantineLength = reader.milliseconds("quarantineMs", milliseconds(1000), oneMonth,
-                                                    settings.quarantineLength);
+    settings.quarantineDuration = reader.milliseconds("quarantineMs", milliseconds(1000), oneMonth,
+                                                      settings.quarantineDuration);
     settings.keyRetention =
         reader.milliseconds("keyRetentionMs", milliseconds(1000), oneMonth, settings.keyRetention);
     settings.idleLimit =
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -44,7 +44,7 @@
     options.objects = &dialect.platform().objects();
     options.watchersPerDataCentre = static_cast<std::size_t>(settings.watchers);
     options.hostKind = dialect.platform().hostKind();
-    options.quarantineDuration = settings.quarantineLength;
+    options.quarantineDuration = settings.quarantineDuration;
     return options;
 }
 
--- a/lib/Kernel/piecebatcher.cpp
+++ b/lib/Kernel/piecebatcher.cpp
@@ -197,7 +197,7 @@
         recordCallEnd(endpoint, queue, activeCall, event, *entry);
         if (entry->spec.pieces) {
             addResults(queue, endpoint, activeCall, event, m_clock.now(),
-                       entry->spec.pieces->resultLife);
+                       entry->spec.pieces->resultTtl);
         }
     }
     const bool refused =
--- a/lib/Kernel/piececalls.cpp
+++ b/lib/Kernel/piececalls.cpp
@@ -210,7 +210,7 @@
                                            const PieceWorkSpec &work) const
 {
     if (queue.bufferUsage.isFull(endpoint, m_clock.now())) {
-        return std::max(queue.bufferUsage.bytesAt(endpoint), work.roomBytes);
+        return std::max(queue.bufferUsage.bytesAt(endpoint), work.resultBufferBytes);
     }
     std::uint64_t allocated = queue.bufferUsage.bytesAt(endpoint);
     const auto found = queue.endpointStates.find(endpoint);
@@ -252,7 +252,8 @@
             continue;
         }
         const std::uint64_t allocated = other.allocatedBytes + other.reservedBytes;
-        const bool hasSpace = work.roomBytes == 0 || allocated + bytes <= work.roomBytes;
+        const bool hasSpace =
+            work.resultBufferBytes == 0 || allocated + bytes <= work.resultBufferBytes;
         if (other.reservedSlots + count <= work.batch && hasSpace) {
             other.reservedSlots += count;
             other.reservedBytes += bytes;
@@ -291,7 +292,7 @@
         if (fits && !isAvoided && !defersToCloser(first, group, candidate, candidates, work)) {
             for (std::size_t i = begin; i < std::min(end, begin + freeSlots); ++i) {
                 const std::uint64_t bytes = queue.waiting[i].order.resultBytes;
-                if (work.roomBytes > 0 && allocated + bytes > work.roomBytes) {
+                if (work.resultBufferBytes > 0 && allocated + bytes > work.resultBufferBytes) {
                     selection.lackingBufferSpace += std::min(end, begin + freeSlots) - i;
                     break;
                 }
@@ -343,7 +344,7 @@
     stats.waiting = queue.waiting.size();
     stats.lackingBufferSpace = selection.lackingBufferSpace;
     stats.allocatedBytes = selection.allocatedBytes;
-    stats.bufferBytes = work.roomBytes;
+    stats.bufferBytes = work.resultBufferBytes;
     for (const QueuedPiece &item : items) {
         stats.longestWait = std::max<Duration>(stats.longestWait, m_clock.now() - item.receivedAt);
     }
@@ -366,7 +367,7 @@
     PieceCall call;
     call.id = activeCall.id;
     call.endpoint = endpoint.spec.name;
-    call.endpointIdentity = endpoint.spec.lastingName();
+    call.endpointIdentity = endpoint.spec.stableName();
     call.address = endpoint.spec.address;
     call.timeout =
         scaled(activeCall.expectedEnd - now + activeCall.declared, timeoutFactor) + timeoutSlack;
--- a/lib/Kernel/snapshot.cpp
+++ b/lib/Kernel/snapshot.cpp
@@ -108,7 +108,7 @@
             }
         }
         for (auto &[name, pool] : m_snapshot.pools) {
-            if (pool.spec.keepsPrompts) {
+            if (pool.spec.hasPromptCache) {
                 buildPromptRing(pool);
             }
             if (pool.spec.pieces) {
@@ -162,7 +162,7 @@
             for (std::uint64_t point = 0; point < ringPoints; ++point) {
                 // The name survives a restart, so that a restarted endpoint gets its prompts back
                 // and no other prompt moves.
-                const std::string &name = pool.endpoints[i].spec.lastingName();
+                const std::string &name = pool.endpoints[i].spec.stableName();
                 pool.promptRing.emplace_back(hash64(name, point), i);
             }
         }
--- a/lib/Plugins/owndialect.cpp
+++ b/lib/Plugins/owndialect.cpp
@@ -27,7 +27,7 @@
     {
         return decodePlatformResult(call.id, result);
     }
-    [[nodiscard]] const ObjectReader &objects() const override { return ownObjectReader(); }
+    [[nodiscard]] const ObjectReader &objects() const override { return defaultObjectReader(); }
 };
 
 class OwnDialect final : public Dialect
--- a/tools/harelink/objectcommands.cpp
+++ b/tools/harelink/objectcommands.cpp
@@ -101,7 +101,7 @@
         return reportUnreachable(found);
     }
     const Version current = exists ? found.version : 0;
-    if (resource.madeFrom && *resource.madeFrom != current) {
+    if (resource.baseVersion && *resource.baseVersion != current) {
         return reportConflict(resource, current, found.value);
     }
     if (exists && nlohmann::json::parse(found.value, nullptr, false) == resource.document) {
--- a/unittests/Config/resourcestest.cpp
+++ b/unittests/Config/resourcestest.cpp
@@ -40,7 +40,7 @@
     STRCMP_EQUAL("encoders", pipeline.stages.at(0).pool.c_str());
     CHECK_FALSE(pipeline.repeatable);
     CHECK_EQUAL(250, pipeline.deadline.count());
-    CHECK_EQUAL(7u, resource.madeFrom.value());
+    CHECK_EQUAL(7u, resource.baseVersion.value());
     CHECK_FALSE(resource.document.contains("version"));
 }
 
--- a/unittests/Kernel/configwatchertest.cpp
+++ b/unittests/Kernel/configwatchertest.cpp
@@ -21,13 +21,13 @@
     [[nodiscard]] const std::string &endpointKind() const override { return kindGroups()[0][0]; }
     [[nodiscard]] const std::string &drainKind() const override
     {
-        return ownObjectReader().drainKind();
+        return defaultObjectReader().drainKind();
     }
     [[nodiscard]] const std::string &quarantineKind() const override
     {
-        return ownObjectReader().quarantineKind();
+        return defaultObjectReader().quarantineKind();
     }
-    [[nodiscard]] bool endpointsLapse() const override { return true; }
+    [[nodiscard]] bool endpointObjectsExpire() const override { return true; }
     [[nodiscard]] absl::StatusOr<std::vector<Resource>>
     read(const std::string &, const std::string &name, const std::string &) const override
     {
--- a/unittests/Kernel/controlfixture.h
+++ b/unittests/Kernel/controlfixture.h
@@ -10,7 +10,7 @@
 namespace harelink::testing {
 
 /// Returns options for host "h1" in "dc1", which keeps no claims.
-inline ControlOptions controlOptions(const ObjectReader &objects = ownObjectReader())
+inline ControlOptions controlOptions(const ObjectReader &objects = defaultObjectReader())
 {
     ControlOptions options;
     options.host = "h1";
--- a/unittests/Kernel/controlmachinetest.cpp
+++ b/unittests/Kernel/controlmachinetest.cpp
@@ -21,13 +21,13 @@
     [[nodiscard]] const std::string &endpointKind() const override { return kindGroups()[1][0]; }
     [[nodiscard]] const std::string &quarantineKind() const override
     {
-        return ownObjectReader().quarantineKind();
+        return defaultObjectReader().quarantineKind();
     }
     [[nodiscard]] const std::string &drainKind() const override
     {
-        return ownObjectReader().drainKind();
+        return defaultObjectReader().drainKind();
     }
-    [[nodiscard]] bool endpointsLapse() const override { return false; }
+    [[nodiscard]] bool endpointObjectsExpire() const override { return false; }
     [[nodiscard]] absl::StatusOr<std::vector<Resource>>
     read(const std::string &, const std::string &, const std::string &) const override
     {
--- a/unittests/Kernel/datacentredraintest.cpp
+++ b/unittests/Kernel/datacentredraintest.cpp
@@ -89,9 +89,9 @@
     [[nodiscard]] const std::string &drainKind() const override { return kindGroups()[2][0]; }
     [[nodiscard]] const std::string &quarantineKind() const override
     {
-        return ownObjectReader().quarantineKind();
+        return defaultObjectReader().quarantineKind();
     }
-    [[nodiscard]] bool endpointsLapse() const override { return false; }
+    [[nodiscard]] bool endpointObjectsExpire() const override { return false; }
     [[nodiscard]] absl::StatusOr<std::vector<Resource>>
     read(const std::string &, const std::string &, const std::string &) const override
     {
--- a/unittests/Kernel/piecebatchertest.cpp
+++ b/unittests/Kernel/piecebatchertest.cpp
@@ -208,8 +208,8 @@
 {
     Fixture fixture(4);
     std::vector<Resource> resources = pieceConfiguration(1, 4);
-    std::get<PoolSpec>(resources[0].spec).pieces->roomBytes = 1000;
-    std::get<PoolSpec>(resources[0].spec).pieces->resultLife = milliseconds(4000);
+    std::get<PoolSpec>(resources[0].spec).pieces->resultBufferBytes = 1000;
+    std::get<PoolSpec>(resources[0].spec).pieces->resultTtl = milliseconds(4000);
     fixture.snapshot = buildSnapshot(resources, 1, "dc1", nullptr);
     PieceOrder large = pieceOrder(1);
     large.resultBytes = 800;
@@ -327,8 +327,8 @@
     // Neither queue length nor slowness of the endpoint reflects that.
     std::vector<Resource> resources = pieceConfiguration(1, 4);
     auto &pool = std::get<PoolSpec>(resources[0].spec);
-    pool.pieces->roomBytes = 100;
-    pool.pieces->resultLife = std::chrono::seconds(10);
+    pool.pieces->resultBufferBytes = 100;
+    pool.pieces->resultTtl = std::chrono::seconds(10);
     Fixture fixture;
     fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
     const auto predicted = [&fixture] {
@@ -422,8 +422,8 @@
 TEST(PieceBatcher, FreesTheResultsOfALostDaemon)
 {
     std::vector<Resource> resources = pieceConfiguration(1, 4);
-    std::get<PoolSpec>(resources[0].spec).pieces->roomBytes = 2000;
-    std::get<PoolSpec>(resources[0].spec).pieces->resultLife = std::chrono::seconds(4);
+    std::get<PoolSpec>(resources[0].spec).pieces->resultBufferBytes = 2000;
+    std::get<PoolSpec>(resources[0].spec).pieces->resultTtl = std::chrono::seconds(4);
     Fixture fixture;
     fixture.snapshot = buildSnapshot(resources, 2, "dc1", nullptr);
     const auto order = [&fixture](const std::string &host, std::uint64_t sequence,
--- a/unittests/Kernel/pieceloadtest.cpp
+++ b/unittests/Kernel/pieceloadtest.cpp
@@ -58,8 +58,9 @@
             pool->pieces->batch = 8;
             pool->pieces->callTime = load.callTime;
             pool->pieces->pieceTime = milliseconds(21);
-            pool->pieces->roomBytes = resultBytes * static_cast<unsigned>(load.resultsPerEndpoint);
-            pool->pieces->resultLife = milliseconds(4000);
+            pool->pieces->resultBufferBytes =
+                resultBytes * static_cast<unsigned>(load.resultsPerEndpoint);
+            pool->pieces->resultTtl = milliseconds(4000);
         }
         if (auto *pipeline = std::get_if<PipelineSpec>(&resource.spec);
             pipeline != nullptr && pipeline->name == "talk-pieces") {
--- a/unittests/Kernel/proxiedfixture.h
+++ b/unittests/Kernel/proxiedfixture.h
@@ -17,7 +17,7 @@
     route.host = "api.example";
     route.pathPrefix = prefix;
     route.split = {{"engines", 1}};
-    route.mostEndpoints = 2;
+    route.maxEndpoints = 2;
     route.objective = std::chrono::milliseconds(1000);
     pipeline.route = route;
     return pipeline;
@@ -35,7 +35,7 @@
     resources.push_back(makeResource(account));
     PoolSpec pool{"engines", "carried", 1};
     pool.engine = ModelEngineSpec{100'000};
-    pool.keepsPrompts = true;
+    pool.hasPromptCache = true;
     resources.push_back(makeResource(pool));
     for (int i = 0; i < engines; ++i) {
         EndpointSpec endpoint;
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -68,8 +68,8 @@
     const auto readAgain = reader.read("servers", "i-1", entry(2, 2000).value);
     const auto &second = std::get<EndpointSpec>(readAgain->front().spec);
     CHECK(first.name != second.name);
-    STRCMP_EQUAL("i-1", first.lastingName().c_str());
-    STRCMP_EQUAL("i-1", second.lastingName().c_str());
+    STRCMP_EQUAL("i-1", first.stableName().c_str());
+    STRCMP_EQUAL("i-1", second.stableName().c_str());
     CHECK(first.startedAt < second.startedAt);
 }
 
@@ -126,8 +126,8 @@
     const PoolEntry &poolAfter = *second->pool("engines");
     for (std::uint64_t prompt = 0; prompt < 1000; ++prompt) {
         const std::uint64_t hash = hash64("prompt", prompt);
-        STRCMP_EQUAL(poolBefore.preferredEndpoint(hash)->spec.lastingName().c_str(),
-                     poolAfter.preferredEndpoint(hash)->spec.lastingName().c_str());
+        STRCMP_EQUAL(poolBefore.preferredEndpoint(hash)->spec.stableName().c_str(),
+                     poolAfter.preferredEndpoint(hash)->spec.stableName().c_str());
     }
 }
 
--- a/unittests/Platform/manifesttest.cpp
+++ b/unittests/Platform/manifesttest.cpp
@@ -66,11 +66,11 @@
     CHECK(stream.route->streams);
     LONGS_EQUAL(2, stream.route->split.size());
     DOUBLES_EQUAL(90, stream.route->split[0].weight, 0);
-    LONGS_EQUAL(2, stream.route->mostEndpoints);
+    LONGS_EQUAL(2, stream.route->maxEndpoints);
     CHECK(stream.deadline == milliseconds(8000));
     CHECK(stream.route->objective == milliseconds(1000));
-    CHECK(stream.route->patience == milliseconds(4000));
-    LONGS_EQUAL(4194304, stream.largestBody);
+    CHECK(stream.route->clientTimeout == milliseconds(4000));
+    LONGS_EQUAL(4194304, stream.maxBodyBytes);
     LONGS_EQUAL(1, stream.route->pieceStages[1].after.size());
     LONGS_EQUAL(3000000, stream.route->pieceStages[0].resultBytes);
     const auto &record = specOf<PipelineSpec>(*resources, "r2");
@@ -82,12 +82,12 @@
 TEST(Manifest, ServicesBecomePoolsAndTenantsAccounts)
 {
     const auto resources = reader.read("config", "main", manifest);
-    CHECK(specOf<PoolSpec>(*resources, "m1").keepsPrompts);
+    CHECK(specOf<PoolSpec>(*resources, "m1").hasPromptCache);
     const PieceWorkSpec &work = *specOf<PoolSpec>(*resources, "p1").pieces;
     LONGS_EQUAL(8, work.batch);
     CHECK(work.pieceTime == std::chrono::microseconds(2100));
-    LONGS_EQUAL(39'000'000, work.roomBytes);
-    CHECK(work.resultLife == milliseconds(4000));
+    LONGS_EQUAL(39'000'000, work.resultBufferBytes);
+    CHECK(work.resultTtl == milliseconds(4000));
     const auto &coldPool = specOf<PoolSpec>(*resources, "m2");
     DOUBLES_EQUAL(9.1, coldPool.coldRate, 1e-9);
     STRCMP_EQUAL("/ok", coldPool.statusPath.c_str());
--- a/utils/standin/platform.cpp
+++ b/utils/standin/platform.cpp
@@ -282,7 +282,7 @@
             return errorReply(400, "a text called value is missing");
         }
         std::string value = body["value"].get<std::string>();
-        if (value.size() > largestObject) {
+        if (value.size() > maxObjectBytes) {
             return errorReply(413, "the value is too large");
         }
         return written(parts, m_store.put(parts[2], parts[3], readVersion(request, "ifVersion"),
