--- a/test/randrun/randrun.h
+++ b/test/randrun/randrun.h
@@ -26,10 +26,10 @@
 {
 public:
     explicit RandomRun(const RunOptions &options)
-        : m_world(options.seed, hostsOf(options), dataCentreCount)
+        : m_world(options.seed, hostCountFor(options), dataCentreCount)
         , m_kind(options.kind)
     {
-        m_world.trace().keepLines(options.traceLines);
+        m_world.trace().setMaxLines(options.traceLines);
     }
 
     /// Runs until \p steps events were handled, heals, and judges.
@@ -39,34 +39,34 @@
         m_world.faults() = {0.02, 0.05, 0.05, 0.05, 0.5};
         while (m_result.steps < steps && m_world.checks().violations().empty()) {
             m_result.steps += m_world.run(std::chrono::milliseconds(1 + random().below(20)));
-            sendSomething();
+            submitRandomRequest();
             if (m_kind == RunKind::CrashesAndSuspensions) {
-                sendCrashing();
-                suspendSomething();
+                maybeSubmitCrashing();
+                maybeSuspendHost();
             }
             if (m_kind == RunKind::Drains) {
-                drainOrTakeBack();
+                drainOrRestoreDataCentres();
             }
             if (m_kind == RunKind::Limits) {
-                limitOrLift();
+                changeLimits();
             }
             if (m_kind == RunKind::Pauses) {
-                pauseOrServe();
+                changePauses();
             }
             if (random().chance(m_kind == RunKind::CrashesAndSuspensions ? 0.005 : 0.03)) {
-                breakSomething();
+                injectFault();
             }
             if (random().chance(0.05)) {
                 m_world.changeWeight("lab", 1 + static_cast<int>(random().below(9)));
             }
-            leaveNowAndThen();
+            maybeRemoveEndpoint();
         }
-        keepLines();
+        captureTrace();
         settle();
-        if (m_brokeAtEnd) {
-            keepLines();
+        if (m_failedInSettle) {
+            captureTrace();
         }
-        return conclude();
+        return collectResult();
     }
 
 private:
@@ -77,13 +77,13 @@
     /// deadline, back-off or heartbeat limit.
     static constexpr std::chrono::seconds settleTime{8};
     /// Time in which one of the hosts asks an endpoint that has accepted nothing at all.
-    static constexpr std::chrono::seconds learningTime{60};
-    static constexpr std::size_t mostRetriedKeys = 40;
-    static constexpr int mostLeaving = 2;
+    static constexpr std::chrono::seconds limitRecoveryTime{60};
+    static constexpr std::size_t maxRetriedKeys = 40;
+    static constexpr int maxLeavingEndpoints = 2;
     /// How often one request that ends endpoints comes before another one does.
-    static constexpr std::uint64_t crashingCopies = 20;
+    static constexpr std::uint64_t sendsPerCrashingRequest = 20;
 
-    static int hostsOf(const RunOptions &options)
+    static int hostCountFor(const RunOptions &options)
     {
         if (options.hosts > 0) {
             return options.hosts;
@@ -93,25 +93,25 @@
 
     Random &random() { return m_world.random(); }
 
-    std::string anyHost()
+    std::string randomHost()
     {
         const std::vector<std::string> names = m_world.hostNames();
         return names[random().below(names.size())];
     }
 
-    std::string anyEndpoint()
+    std::string randomEndpoint()
     {
         auto at = m_world.endpoints().begin();
         std::advance(at, random().below(m_world.endpoints().size()));
         return at->first;
     }
 
-    void sendSomething()
+    void submitRandomRequest()
     {
         const Duration allowed = std::chrono::milliseconds(100 + random().below(1500));
         if (random().chance(0.4)) {
             const std::string body = fmt::format("q{}", ++m_bodies);
-            m_result.requests += m_world.submit(anyHost(), "answer", body, "", allowed) ? 1 : 0;
+            m_result.requests += m_world.submit(randomHost(), "answer", body, "", allowed) ? 1 : 0;
             return;
         }
         // A new key, or one used lately: the retry of a caller in doubt.
@@ -120,49 +120,49 @@
             again ? m_keys - random().below(std::min<std::uint64_t>(m_keys, 10)) : ++m_keys;
         const std::string name = fmt::format("k{}", key);
         const int copies = random().chance(0.2) ? 2 : 1;
-        const std::string first = anyHost();
+        const std::string first = randomHost();
         for (int i = 0; i < copies; ++i) {
-            const std::string host = random().chance(0.5) ? first : anyHost();
+            const std::string host = random().chance(0.5) ? first : randomHost();
             m_result.requests += m_world.submit(host, "record", "r" + name, name, allowed) ? 1 : 0;
         }
     }
 
     /// A request that ends endpoints comes again every half second or so for ten seconds, at
     /// any host; then another one does.
-    void sendCrashing()
+    void maybeSubmitCrashing()
     {
         if (!random().chance(0.02)) {
             return;
         }
-        submitCrashing(m_crashing++ / crashingCopies);
+        submitCrashingRequest(m_crashingRequests++ / sendsPerCrashingRequest);
     }
 
-    void submitCrashing(std::uint64_t number)
+    void submitCrashingRequest(std::uint64_t number)
     {
         const std::string body = fmt::format("crash {}", number);
         const bool isRecord = number % 2 == 1;
         const std::string key = isRecord ? fmt::format("c{}", ++m_crashKeys) : std::string();
-        m_result.requests += m_world.submit(anyHost(), isRecord ? "record" : "answer", body, key,
+        m_result.requests += m_world.submit(randomHost(), isRecord ? "record" : "answer", body, key,
                                             std::chrono::milliseconds(800))
                                  ? 1
                                  : 0;
     }
 
-    void suspendSomething()
+    void maybeSuspendHost()
     {
         using std::chrono::milliseconds;
         if (!random().chance(0.004)) {
             return;
         }
         ++m_result.faults;
-        const std::string host = anyHost();
+        const std::string host = randomHost();
         m_world.suspend(host);
         later(milliseconds(500), [=, this] { m_world.thaw(host); });
     }
 
     /// An operator drains a data centre, or all, for some seconds. Each may be taken back at
     /// once, and drained again while the others are cut off or the platform is away.
-    void drainOrTakeBack()
+    void drainOrRestoreDataCentres()
     {
         if (!random().chance(0.01)) {
             return;
@@ -176,13 +176,13 @@
     }
 
     /// Some endpoints state a limit for some seconds, another one or none after it.
-    void limitOrLift()
+    void changeLimits()
     {
         constexpr std::array<double, 5> rates = {0, 0.5, 1, 1, 4};
         if (!random().chance(0.01)) {
             return;
         }
-        const std::string endpoint = anyEndpoint();
+        const std::string endpoint = randomEndpoint();
         std::optional<double> limit;
         if (random().chance(0.8)) {
             limit = rates[random().below(rates.size())];
@@ -191,14 +191,14 @@
     }
 
     /// Some endpoints refuse most requests for a while; one announces that it is leaving.
-    void pauseOrServe()
+    void changePauses()
     {
         constexpr std::array<int, 3> pauseMillis = {800, 2000, 3000};
         if (random().chance(0.01)) {
             const bool refuses = random().chance(0.6);
             const auto pause =
                 std::chrono::milliseconds(pauseMillis[random().below(pauseMillis.size())]);
-            m_world.setPause(anyEndpoint(), refuses ? pause : std::chrono::milliseconds(0));
+            m_world.setPause(randomEndpoint(), refuses ? pause : std::chrono::milliseconds(0));
         }
         if (random().chance(0.001)) {
             m_world.announceLeaving("engines-1");
@@ -206,13 +206,14 @@
     }
 
     /// With everything well, each of those requests comes on: by now all have to know it.
-    void repeatCrashing()
+    void resubmitCrashingRequests()
     {
         constexpr int rounds = 8;
-        const std::uint64_t known = (m_crashing + crashingCopies - 1) / crashingCopies;
+        const std::uint64_t known =
+            (m_crashingRequests + sendsPerCrashingRequest - 1) / sendsPerCrashingRequest;
         for (int round = 0; round < rounds; ++round) {
             for (std::uint64_t number = 0; number < known; ++number) {
-                submitCrashing(number);
+                submitCrashingRequest(number);
                 m_result.steps += m_world.run(std::chrono::milliseconds(300));
             }
         }
@@ -220,11 +221,12 @@
 
     /// Lets a few endpoints leave, never all of a pool. The platform's word must
     /// have a chance: the bound counts from when any daemon could know.
-    void leaveNowAndThen()
+    void maybeRemoveEndpoint()
     {
-        if (m_left < mostLeaving && random().chance(0.002)) {
-            m_world.leaveEndpoint(fmt::format("{}-{}", m_left == 0 ? "encoders" : "records", 1));
-            ++m_left;
+        if (m_leavingEndpointCount < maxLeavingEndpoints && random().chance(0.002)) {
+            m_world.markEndpointLeaving(
+                fmt::format("{}-{}", m_leavingEndpointCount == 0 ? "encoders" : "records", 1));
+            ++m_leavingEndpointCount;
         }
     }
 
@@ -234,19 +236,19 @@
                               std::move(heal));
     }
 
-    void breakSomething()
+    void injectFault()
     {
         using std::chrono::milliseconds;
         ++m_result.faults;
         switch (random().below(10)) {
         case 0: {
-            const std::string host = anyHost();
+            const std::string host = randomHost();
             m_world.killHost(host);
             later(milliseconds(200), [=, this] { m_world.startHost(host); });
             return;
         }
         case 1: {
-            const std::string host = anyHost();
+            const std::string host = randomHost();
             m_world.freeze(host);
             later(milliseconds(100), [=, this] { m_world.thaw(host); });
             return;
@@ -284,13 +286,13 @@
             later(milliseconds(100), [this] { m_world.platform().faults().applyLate = 0; });
             return;
         case 8: {
-            const std::string endpoint = anyEndpoint();
+            const std::string endpoint = randomEndpoint();
             m_world.killEndpoint(endpoint);
             later(milliseconds(100), [=, this] { m_world.startEndpoint(endpoint); });
             return;
         }
         default: {
-            const std::string host = anyHost();
+            const std::string host = randomHost();
             m_world.drainHost(host);
             later(milliseconds(3000), [=, this] { m_world.startHost(host); });
             return;
@@ -298,7 +300,7 @@
         }
     }
 
-    void keepLines()
+    void captureTrace()
     {
         const auto &last = m_world.trace().last();
         m_result.lastLines.assign(last.begin(), last.end());
@@ -314,17 +316,17 @@
         // A planned stop that began before may have ended only now.
         m_world.healAll();
         m_result.steps += m_world.run(settleTime);
-        repeatCrashing();
+        resubmitCrashingRequests();
         if (m_kind == RunKind::Limits) {
-            learnLiftedLimits();
+            probeLiftedLimits();
         }
         if (!m_world.converged()) {
             m_world.checks().violation("the configuration is not in force everywhere");
         }
         // A key that never ran can be run now: nothing may block it.
         std::vector<Submission> keys = m_world.checks().neverRunKeys();
-        if (keys.size() > mostRetriedKeys) {
-            keys.resize(mostRetriedKeys);
+        if (keys.size() > maxRetriedKeys) {
+            keys.resize(maxRetriedKeys);
         }
         for (const Submission &key : keys) {
             m_world.submit("h1", key.pipeline, key.body, key.key, std::chrono::seconds(4));
@@ -338,21 +340,21 @@
             if (retried && !m_world.checks().ledger().runsByKey.contains(submission.key)) {
                 m_world.checks().violation(
                     fmt::format("key {} never ran and can no longer be run", submission.key));
-                m_brokeAtEnd = true;
+                m_failedInSettle = true;
                 break;
             }
         }
     }
 
     /// Lifted limits become known by an answer, so callers have to come.
-    void learnLiftedLimits()
+    void probeLiftedLimits()
     {
-        const TimePoint end = m_world.queue().now() + learningTime;
+        const TimePoint end = m_world.queue().now() + limitRecoveryTime;
         while (m_world.queue().now() < end) {
             for (const char *pipeline : {"answer", "record"}) {
                 const std::string name = fmt::format("k{}", ++m_keys);
                 const bool isRecord = std::string(pipeline) == "record";
-                m_result.requests += m_world.submit(anyHost(), pipeline, "r" + name,
+                m_result.requests += m_world.submit(randomHost(), pipeline, "r" + name,
                                                     isRecord ? name : "", std::chrono::seconds(1))
                                          ? 1
                                          : 0;
@@ -361,7 +363,7 @@
         }
     }
 
-    RunResult conclude()
+    RunResult collectResult()
     {
         m_world.checks().finish();
         m_result.violations = m_world.checks().violations();
@@ -373,10 +375,10 @@
     World<G> m_world;
     RunKind m_kind;
     RunResult m_result;
-    std::uint64_t m_crashing = 0; ///< Sent of the requests that end endpoints.
+    std::uint64_t m_crashingRequests = 0; ///< Sent of the requests that end endpoints.
     std::uint64_t m_crashKeys = 0;
-    int m_left = 0;
-    bool m_brokeAtEnd = false; ///< In a check that settle() makes.
+    int m_leavingEndpointCount = 0;
+    bool m_failedInSettle = false; ///< In a check that settle() makes.
     std::uint64_t m_keys = 0;
     std::uint64_t m_bodies = 0;
 };
--- a/test/scenarios/runner.cpp
+++ b/test/scenarios/runner.cpp
@@ -48,17 +48,17 @@
 /// Time after the last command for everything to settle.
 constexpr std::chrono::seconds settleTime{8};
 
-int numberOf(const std::string &word)
+int parseNumber(const std::string &word)
 {
     int number = 0;
     return absl::SimpleAtoi(word, &number) ? number : -1;
 }
 
 /// "250ms" or "4s".
-std::optional<Duration> timeOf(const std::string &word)
+std::optional<Duration> parseDuration(const std::string &word)
 {
     const std::size_t unit = word.find_first_not_of("0123456789");
-    const int number = numberOf(word.substr(0, unit));
+    const int number = parseNumber(word.substr(0, unit));
     if (unit == std::string::npos || number < 0) {
         return std::nullopt;
     }
@@ -80,9 +80,9 @@
         std::ifstream file(path);
         std::string line;
         int number = 0;
-        bool good = static_cast<bool>(file);
+        bool succeeded = static_cast<bool>(file);
         std::vector<Words> expectations;
-        while (good && std::getline(file, line)) {
+        while (succeeded && std::getline(file, line)) {
             ++number;
             const Words words = absl::StrSplit(line, ' ', absl::SkipEmpty());
             if (words.empty() || words[0] == "#") {
@@ -92,29 +92,29 @@
                 expectations.emplace_back(words.begin() + 1, words.end());
                 continue;
             }
-            good = playLine(words);
-            if (!good) {
+            succeeded = executeLine(words);
+            if (!succeeded) {
                 fmt::print("{}:{}: cannot be read: {}\n", path, number, line);
             }
         }
-        if (!good || expectations.empty()) {
+        if (!succeeded || expectations.empty()) {
             fmt::print("{}: not a scenario with expectations\n", path);
             return false;
         }
         m_world.run(settleTime);
         m_world.checks().finish();
         for (const Words &expectation : expectations) {
-            good = judge(expectation, path) && good;
+            succeeded = checkExpectation(expectation, path) && succeeded;
         }
-        fmt::print("{} {}\n", good ? "passed" : "FAILED", path);
-        return good;
+        fmt::print("{} {}\n", succeeded ? "passed" : "FAILED", path);
+        return succeeded;
     }
 
 private:
-    bool playLine(const Words &words)
+    bool executeLine(const Words &words)
     {
         const std::optional<Duration> time =
-            words.size() > 2 && words[0] == "at" ? timeOf(words[1]) : std::nullopt;
+            words.size() > 2 && words[0] == "at" ? parseDuration(words[1]) : std::nullopt;
         if (!time || *time < m_world.queue().elapsed()) {
             return false;
         }
@@ -140,10 +140,10 @@
             return true;
         }
         if (verb == "weigh" && words.size() == 3) {
-            m_world.changeWeight(words[1], numberOf(words[2]));
+            m_world.changeWeight(words[1], parseNumber(words[2]));
             return true;
         }
-        return words.size() == 3 ? onEndpoint(words) : onHost(words);
+        return words.size() == 3 ? executeOnEndpoint(words) : executeOnHost(words);
     }
 
     bool send(const Words &words)
@@ -158,7 +158,7 @@
             m_world.submit(words[4], "record", words[2], words[2], requestDeadline);
             return true;
         }
-        for (int i = 0; i < numberOf(words[1]); ++i) {
+        for (int i = 0; i < parseNumber(words[1]); ++i) {
             m_world.submit(words[4], "answer", fmt::format("q{}", ++m_bodies), "", requestDeadline);
         }
         return words[2] == "answers";
@@ -192,7 +192,7 @@
         return false;
     }
 
-    bool onEndpoint(const Words &words)
+    bool executeOnEndpoint(const Words &words)
     {
         if (words[1] != "endpoint" || !m_world.endpoints().contains(words[2])) {
             return false;
@@ -202,13 +202,13 @@
             return true;
         }
         if (words[0] == "leave") {
-            m_world.leaveEndpoint(words[2]);
+            m_world.markEndpointLeaving(words[2]);
             return true;
         }
         return false;
     }
 
-    bool onHost(const Words &words)
+    bool executeOnHost(const Words &words)
     {
         if (words.size() != 2) {
             return false;
@@ -227,7 +227,7 @@
         return true;
     }
 
-    bool judge(const Words &words, const std::string &path)
+    bool checkExpectation(const Words &words, const std::string &path)
     {
         if (words == Words{"no", "violations"}) {
             for (const std::string &line : m_world.checks().violations()) {
@@ -245,7 +245,7 @@
                            path);
         }
         if (words.size() == 6 && words[0] == "crashes") {
-            return compare(m_world.checks().crashesUnder("crash " + words[2]), words[4], words[5],
+            return compare(m_world.checks().crashCount("crash " + words[2]), words[4], words[5],
                            words[2], path);
         }
         if (words.size() == 4 && words[1] == "at") {
@@ -264,14 +264,14 @@
     static bool compare(int actual, const std::string &relation, const std::string &bound,
                         const std::string &what, const std::string &path)
     {
-        const int number = numberOf(bound);
-        const bool good = (relation == "exactly" && actual == number)
-                          || (relation == "least" && actual >= number)
-                          || (relation == "most" && actual <= number);
-        if (!good) {
+        const int number = parseNumber(bound);
+        const bool succeeded = (relation == "exactly" && actual == number)
+                               || (relation == "least" && actual >= number)
+                               || (relation == "most" && actual <= number);
+        if (!succeeded) {
             fmt::print("{}: {} is {}, expected {} {}\n", path, what, actual, relation, bound);
         }
-        return good;
+        return succeeded;
     }
 
     World<AllGuards> m_world{scenarioSeed, 4, 2};
--- a/test/sim/checks.cpp
+++ b/test/sim/checks.cpp
@@ -12,32 +12,32 @@
 namespace {
 
 /// How long after it began to leave an endpoint may still get new work.
-constexpr std::chrono::seconds leavingAllowance{5};
+constexpr std::chrono::seconds leavingGracePeriod{5};
 /// The same after its data centre was drained.
-constexpr std::chrono::seconds drainAllowance{5};
+constexpr std::chrono::seconds drainGracePeriod{5};
 /// What cold endpoints get in a second: so many times what they bear, and so much more.
-constexpr double coldExcess = 1.5;
+constexpr double coldRateFactor = 1.5;
 constexpr double coldSlack = 5;
 /// What an endpoint that states a limit gets in a window: so many times what the limit
 /// allows, and so much more, from daemons that were told so long before.
-constexpr double limitExcess = 1.5;
+constexpr double limitRateFactor = 1.5;
 constexpr double limitSlack = 5;
 constexpr std::chrono::seconds limitWindow{4};
-constexpr std::chrono::milliseconds limitNoticeTime{500};
+constexpr std::chrono::milliseconds limitPropagationTime{500};
 /// Requests that an endpoint may get within a pause, after the time to take it in.
-constexpr int mostInPause = 2;
-constexpr std::chrono::milliseconds pauseNoticeTime{500};
+constexpr int maxArrivalsInPause = 2;
+constexpr std::chrono::milliseconds pausePropagationTime{500};
 /// How long after it took in that an endpoint is leaving a daemon may still send there.
-constexpr std::chrono::seconds leavingNoticeTime{3};
+constexpr std::chrono::seconds departurePropagationTime{3};
 /// An endpoint may get so much more time than the caller has.
-constexpr std::chrono::milliseconds timeAllowance{500};
+constexpr std::chrono::milliseconds timeoutTolerance{500};
 /// A request under which so many endpoints have ended is known to end them ...
-constexpr int crashesThatTell = 3;
-/// ... by all that are in touch, after contactTime, but for so many sends.
-constexpr int mostSendsAfter = 3;
+constexpr int crashThreshold = 3;
+/// ... by all that are in touch, after stabilizationTime, but for so many sends.
+constexpr int maxSendsAfterThreshold = 3;
 
 /// The one right answer to a request.
-std::string rightAnswer(const Submission &submission)
+std::string expectedAnswer(const Submission &submission)
 {
     if (submission.pipeline == "record") {
         return "record(" + submission.body + ")";
@@ -60,7 +60,7 @@
     m_submissions[submission.id] = submission;
 }
 
-void Checks::takenIn(const RequestId &id, Duration allowed)
+void Checks::admitted(const RequestId &id, Duration allowed)
 {
     m_submissions.at(id).deadline = m_queue.now() + allowed;
 }
@@ -69,7 +69,7 @@
 {
     const Submission &submission = m_submissions.at(stage.call.request);
     const Duration left = submission.deadline - m_queue.now();
-    if (stage.timeout > left + timeAllowance) {
+    if (stage.timeout > left + timeoutTolerance) {
         violation(fmt::format("request {} was sent with {:.0f} ms, its caller has {:.0f} ms",
                               toText(stage.call.request), toMilliseconds(stage.timeout),
                               toMilliseconds(left)));
@@ -93,11 +93,11 @@
         violation(fmt::format("request {}, which ends no endpoint, was put under quarantine",
                               toText(answer.id)));
     }
-    if (answer.outcome == Outcome::Completed && answer.body != rightAnswer(submission)) {
+    if (answer.outcome == Outcome::Completed && answer.body != expectedAnswer(submission)) {
         violation(fmt::format("request {} got {} for {}", toText(answer.id), answer.body,
-                              rightAnswer(submission)));
+                              expectedAnswer(submission)));
     }
-    const bool whole = submission.streamed == rightAnswer(submission);
+    const bool whole = submission.streamed == expectedAnswer(submission);
     if (answer.outcome == Outcome::Completed && submission.streams && !whole) {
         violation(fmt::format("request {} was streamed {} and called complete", toText(answer.id),
                               submission.streamed));
@@ -118,14 +118,14 @@
         violation(fmt::format("request {} got a part after its end", toText(piece.id)));
     }
     submission.streamed += piece.text;
-    if (rightAnswer(submission).rfind(submission.streamed, 0) != 0) {
+    if (expectedAnswer(submission).rfind(submission.streamed, 0) != 0) {
         violation(fmt::format("request {} was streamed {} for {}", toText(piece.id),
-                              submission.streamed, rightAnswer(submission)));
+                              submission.streamed, expectedAnswer(submission)));
     }
 }
 
 void Checks::arrivedAtEndpoint(const std::string &endpointName, const FakeEndpoint &endpoint,
-                               const SendStage &stage, bool wokeLately)
+                               const SendStage &stage, bool recentlyResumed)
 {
     ++m_ledger.callsByRequest[stage.call.request];
     const auto found = m_submissions.find(stage.call.request);
@@ -134,8 +134,8 @@
         violation(fmt::format("request {} ran after it was said not to have run",
                               toText(stage.call.request)));
     }
-    if (!wokeLately && endpoint.leavingSince != TimePoint::max()
-        && m_queue.now() - endpoint.leavingSince > leavingAllowance) {
+    if (!recentlyResumed && endpoint.leavingSince != TimePoint::max()
+        && m_queue.now() - endpoint.leavingSince > leavingGracePeriod) {
         violation(fmt::format("{} got new work {} ms after it began to leave", endpointName,
                               toMilliseconds(m_queue.now() - endpoint.leavingSince)));
     }
@@ -150,21 +150,22 @@
     }
 }
 
-void Checks::arrivedAtDataCentre(const FakeEndpoint &endpoint, const SendStage &stage, bool inTouch)
+void Checks::arrivedAtDataCentre(const FakeEndpoint &endpoint, const SendStage &stage,
+                                 bool fromStableHost)
 {
-    noteColdArrival(endpoint, stage.endpoint);
+    recordColdArrival(endpoint, stage.endpoint);
     const auto drained = m_drainedSince.find(endpoint.dataCentre);
-    if (!inTouch || drained == m_drainedSince.end()) {
+    if (!fromStableHost || drained == m_drainedSince.end()) {
         return;
     }
     const Duration since = m_queue.now() - drained->second;
-    if (since > drainAllowance) {
+    if (since > drainGracePeriod) {
         violation(fmt::format("{} got new work {} ms after {} was drained", stage.endpoint,
                               toMilliseconds(since), endpoint.dataCentre));
     }
 }
 
-void Checks::noteColdArrival(const FakeEndpoint &endpoint, const std::string &name)
+void Checks::recordColdArrival(const FakeEndpoint &endpoint, const std::string &name)
 {
     if (m_queue.now() >= endpoint.coldUntil) {
         m_coldArrivals.erase(name);
@@ -175,24 +176,25 @@
     while (m_queue.now() - arrivals.front() >= std::chrono::seconds(1)) {
         arrivals.pop_front();
     }
-    if (static_cast<double>(arrivals.size()) > coldRate * coldExcess + coldSlack) {
+    if (static_cast<double>(arrivals.size()) > coldRate * coldRateFactor + coldSlack) {
         violation(fmt::format("{} got {} requests within a second while it was cold", name,
                               arrivals.size()));
     }
 }
 
-void Checks::toldOfLimit(const std::string &endpoint, Incarnation daemon)
+void Checks::limitReported(const std::string &endpoint, Incarnation daemon)
 {
-    m_limits[endpoint].toldAt.try_emplace(daemon, m_queue.now());
+    m_limits[endpoint].reportedAt.try_emplace(daemon, m_queue.now());
 }
 
 void Checks::arrivedAtLimited(const FakeEndpoint &endpoint, const SendStage &stage, bool excused)
 {
     LimitRecord &record = m_limits[stage.endpoint];
     const TimePoint now = m_queue.now();
-    const auto told = record.toldAt.find(stage.call.request.incarnation);
-    const bool knows = told != record.toldAt.end() && now - told->second >= limitNoticeTime;
-    if (excused || !knows || now - endpoint.limitedSince < contactTime) {
+    const auto told = record.reportedAt.find(stage.call.request.incarnation);
+    const bool knows =
+        told != record.reportedAt.end() && now - told->second >= limitPropagationTime;
+    if (excused || !knows || now - endpoint.limitedSince < stabilizationTime) {
         return;
     }
     record.arrivals.push_back(now);
@@ -200,7 +202,7 @@
         record.arrivals.pop_front();
     }
     const double seconds = std::chrono::duration<double>(limitWindow).count();
-    const double allowed = *endpoint.limit * seconds * limitExcess + limitSlack;
+    const double allowed = *endpoint.limit * seconds * limitRateFactor + limitSlack;
     if (static_cast<double>(record.arrivals.size()) > allowed) {
         violation(fmt::format("{}, which states a limit of {}/s, got {} requests in {:.0f} s from "
                               "daemons that had been told",
@@ -208,16 +210,16 @@
     }
 }
 
-void Checks::pauseAsked(const SendStage &stage, Duration pause)
+void Checks::pauseRequested(const SendStage &stage, Duration pause)
 {
     const TimePoint now = m_queue.now();
     m_pauses[{stage.endpoint, stage.call.request.incarnation}].push_back(
-        {now + pauseNoticeTime, now + pause, 0});
+        {now + pausePropagationTime, now + pause, 0});
 }
 
-void Checks::toldOfLeaving(const std::string &endpoint, Incarnation daemon)
+void Checks::departureReported(const std::string &endpoint, Incarnation daemon)
 {
-    m_leavingToldAt.try_emplace({endpoint, daemon}, m_queue.now());
+    m_departureReportedAt.try_emplace({endpoint, daemon}, m_queue.now());
 }
 
 void Checks::arrivedAtPausing(const SendStage &stage, bool excused)
@@ -227,8 +229,9 @@
     if (excused) {
         return;
     }
-    const auto leaving = m_leavingToldAt.find(key);
-    if (leaving != m_leavingToldAt.end() && now - leaving->second > leavingNoticeTime) {
+    const auto leaving = m_departureReportedAt.find(key);
+    if (leaving != m_departureReportedAt.end()
+        && now - leaving->second > departurePropagationTime) {
         violation(fmt::format("{} got new work {:.0f} ms after it told the daemon that it leaves",
                               stage.endpoint, toMilliseconds(now - leaving->second)));
     }
@@ -238,7 +241,7 @@
     }
     std::erase_if(pauses->second, [now](const Pause &pause) { return pause.end <= now; });
     for (Pause &pause : pauses->second) {
-        if (now >= pause.begin && ++pause.arrivals > mostInPause) {
+        if (now >= pause.begin && ++pause.arrivals > maxArrivalsInPause) {
             violation(fmt::format("{} got {} requests of a daemon in a pause that it asked for",
                                   stage.endpoint, pause.arrivals));
         }
@@ -262,27 +265,27 @@
     CrashRecord &record = m_crashes[body];
     ++record.crashes;
     m_trace.add(fmt::format("an endpoint ends under {}, number {}", body, record.crashes));
-    if (record.crashes == crashesThatTell) {
-        record.thirdAt = m_queue.now();
+    if (record.crashes == crashThreshold) {
+        record.thresholdReachedAt = m_queue.now();
     }
 }
 
-void Checks::crashingArrived(const std::string &body, bool inTouch)
+void Checks::crashingArrived(const std::string &body, bool fromStableHost)
 {
     CrashRecord &record = m_crashes[body];
-    const bool isKnown =
-        record.crashes >= crashesThatTell && m_queue.now() - record.thirdAt > contactTime;
-    if (!isKnown || !inTouch) {
+    const bool isKnown = record.crashes >= crashThreshold
+                         && m_queue.now() - record.thresholdReachedAt > stabilizationTime;
+    if (!isKnown || !fromStableHost) {
         return;
     }
-    ++record.sendsAfter;
-    if (record.sendsAfter > mostSendsAfter) {
+    ++record.sendsAfterThreshold;
+    if (record.sendsAfterThreshold > maxSendsAfterThreshold) {
         violation(fmt::format("{}, under which {} endpoints had ended, was sent {} times more",
-                              body, record.crashes, record.sendsAfter));
+                              body, record.crashes, record.sendsAfterThreshold));
     }
 }
 
-int Checks::crashesUnder(const std::string &body) const
+int Checks::crashCount(const std::string &body) const
 {
     const auto found = m_crashes.find(body);
     return found == m_crashes.end() ? 0 : found->second.crashes;
@@ -293,7 +296,7 @@
     for (auto &[id, submission] : m_submissions) {
         if (submission.host == host && id.incarnation == incarnation) {
             submission.daemonDied = true;
-            submission.orphaned = !submission.answered;
+            submission.isAbandoned = !submission.answered;
         }
     }
 }
@@ -301,7 +304,7 @@
 void Checks::hostDraining(const std::string &host)
 {
     for (auto &[id, submission] : m_submissions) {
-        if (submission.host == host && !submission.answered && !submission.orphaned) {
+        if (submission.host == host && !submission.answered && !submission.isAbandoned) {
             submission.drainBegan = true;
         }
     }
@@ -325,7 +328,7 @@
 void Checks::finish()
 {
     for (const auto &[id, submission] : m_submissions) {
-        if (!submission.answered && !submission.orphaned) {
+        if (!submission.answered && !submission.isAbandoned) {
             violation(fmt::format("request {} was never answered", toText(id)));
         }
     }
--- a/test/sim/checks.h
+++ b/test/sim/checks.h
@@ -19,7 +19,7 @@
 
 /// A host to which nothing has happened for so long is in touch: it has to know what the
 /// others knew that long ago.
-inline constexpr std::chrono::milliseconds contactTime{3000};
+inline constexpr std::chrono::milliseconds stabilizationTime{3000};
 
 /// A request as its caller remembers it.
 struct Submission
@@ -35,9 +35,9 @@
     bool answered = false;
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
-    bool orphaned = false;   ///< Its daemon was killed: nobody will answer.
-    bool daemonDied = false; ///< Killed before or after the answer.
-    bool drainBegan = false; ///< It was in progress when a planned stop began.
+    bool isAbandoned = false; ///< Its daemon was killed: nobody will answer.
+    bool daemonDied = false;  ///< Killed before or after the answer.
+    bool drainBegan = false;  ///< It was in progress when a planned stop began.
 };
 
 /// The invariants.
@@ -53,35 +53,37 @@
     /// The events that are judged.
     void submitted(const Submission &submission);
     /// A host's daemon has taken the request in; its caller waits \p allowed from now on.
-    void takenIn(const RequestId &id, Duration allowed);
+    void admitted(const RequestId &id, Duration allowed);
     void answered(const AnswerCaller &answer);
     void sent(const SendStage &stage);
     void streamed(const StreamChunk &piece);
-    /// \p wokeLately: from a host that was suspended until a moment ago.
+    /// \p recentlyResumed: from a host that was suspended until a moment ago.
     void arrivedAtEndpoint(const std::string &endpointName, const FakeEndpoint &endpoint,
-                           const SendStage &stage, bool wokeLately);
+                           const SendStage &stage, bool recentlyResumed);
     /// An operator has drained a data centre, or taken it back.
     void dataCentreDrained(const std::string &dataCentre, bool isDrained);
-    /// A call arrived at \p endpoint; \p inTouch: from a host that has to know what others do.
-    void arrivedAtDataCentre(const FakeEndpoint &endpoint, const SendStage &stage, bool inTouch);
+    /// A call arrived at \p endpoint; \p fromStableHost: from a host that has to know what others
+    /// do.
+    void arrivedAtDataCentre(const FakeEndpoint &endpoint, const SendStage &stage,
+                             bool fromStableHost);
     /// An endpoint states another limit, or none.
     void limitChanged(const std::string &endpoint) { m_limits.erase(endpoint); }
     /// A host's daemon has taken in an answer that states a limit.
-    void toldOfLimit(const std::string &endpoint, Incarnation daemon);
+    void limitReported(const std::string &endpoint, Incarnation daemon);
     /// A call arrived at \p endpoint, which states a limit; \p excused: from a host that
     /// stood still a moment ago.
     void arrivedAtLimited(const FakeEndpoint &endpoint, const SendStage &stage, bool excused);
     /// An endpoint has refused \p stage and asked its host for a pause.
-    void pauseAsked(const SendStage &stage, Duration pause);
+    void pauseRequested(const SendStage &stage, Duration pause);
     /// A host's daemon has taken in an answer of an endpoint that is leaving.
-    void toldOfLeaving(const std::string &endpoint, Incarnation daemon);
+    void departureReported(const std::string &endpoint, Incarnation daemon);
     /// A call arrived; \p excused: from a host that stood still a moment ago.
     void arrivedAtPausing(const SendStage &stage, bool excused);
     void ranAtEndpoint(const SendStage &stage);
     /// An endpoint ended under a request with \p body.
     void crashed(const std::string &body);
-    /// A request that ends endpoints reached one; \p inTouch: from a host that had to know.
-    void crashingArrived(const std::string &body, bool inTouch);
+    /// A request that ends endpoints reached one; \p fromStableHost: from a host that had to know.
+    void crashingArrived(const std::string &body, bool fromStableHost);
     void hostKilled(const std::string &host, Incarnation incarnation);
     void hostDraining(const std::string &host);
     void versionInForce(const std::string &host, const std::string &object, Version version);
@@ -94,7 +96,7 @@
     [[nodiscard]] std::map<RequestId, Submission> &submissions() { return m_submissions; }
     [[nodiscard]] const EndpointLedger &ledger() const { return m_ledger; }
     /// How many endpoints ended under requests with \p body.
-    [[nodiscard]] int crashesUnder(const std::string &body) const;
+    [[nodiscard]] int crashCount(const std::string &body) const;
     /// Counts of answers by outcome.
     [[nodiscard]] const std::map<std::string, int> &outcomes() const { return m_outcomes; }
     /// Keys that never ran and whose every caller was told "not run", but for those of
@@ -106,15 +108,15 @@
     struct CrashRecord
     {
         int crashes = 0;
-        TimePoint thirdAt;
-        int sendsAfter = 0; ///< By hosts that had to know, later than the contact time.
+        TimePoint thresholdReachedAt;
+        int sendsAfterThreshold = 0; ///< By hosts that had to know, later than the contact time.
     };
 
     /// What has happened at an endpoint since it stated its limit.
     struct LimitRecord
     {
-        std::map<Incarnation, TimePoint> toldAt; ///< By daemon.
-        std::deque<TimePoint> arrivals;          ///< From daemons that had been told.
+        std::map<Incarnation, TimePoint> reportedAt; ///< By daemon.
+        std::deque<TimePoint> arrivals;              ///< From daemons that had been told.
     };
 
     /// A pause that an endpoint asked a daemon for.
@@ -127,7 +129,7 @@
     /// An endpoint's name and a daemon.
     using EndpointDaemon = std::pair<std::string, Incarnation>;
 
-    void noteColdArrival(const FakeEndpoint &endpoint, const std::string &name);
+    void recordColdArrival(const FakeEndpoint &endpoint, const std::string &name);
 
     EventQueue &m_queue;
     Trace &m_trace;
@@ -136,7 +138,7 @@
     std::map<std::string, std::deque<TimePoint>> m_coldArrivals; ///< Of a second, by endpoint.
     std::map<std::string, LimitRecord> m_limits;                 ///< By endpoint.
     std::map<EndpointDaemon, std::vector<Pause>> m_pauses;
-    std::map<EndpointDaemon, TimePoint> m_leavingToldAt;
+    std::map<EndpointDaemon, TimePoint> m_departureReportedAt;
     EndpointLedger m_ledger;
     std::map<RequestId, Submission> m_submissions;
     std::map<std::string, int> m_outcomes;
--- a/test/sim/fakes.cpp
+++ b/test/sim/fakes.cpp
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 /// A daemon takes a call for silent after this time.
-constexpr milliseconds clientPatience{300};
+constexpr milliseconds clientTimeout{300};
 /// A late write arrives within this time.
-constexpr std::uint64_t latestWriteMs = 900;
+constexpr std::uint64_t maxWriteDelayMs = 900;
 constexpr milliseconds watchPoll{20};
 
 PlatformResult resultOf(const PlatformCall &call, PlatformOutcome outcome)
@@ -31,7 +31,7 @@
 
 void EventQueue::after(Duration delay, Event event)
 {
-    m_entries.push({now() + delay, ++m_made, std::move(event)});
+    m_entries.push({now() + delay, ++m_lastOrder, std::move(event)});
 }
 
 std::uint64_t EventQueue::runUntil(TimePoint end)
@@ -54,7 +54,7 @@
     std::string timed = fmt::format("{:>10.3f} ms  {}", static_cast<double>(micros) / 1000, line);
     m_hash = hash64(timed, m_hash);
     m_last.push_back(std::move(timed));
-    if (m_last.size() > m_keptLines) {
+    if (m_last.size() > m_maxLines) {
         m_last.pop_front();
     }
 }
@@ -79,29 +79,29 @@
         m_queue.after(latency, [=, this] { watch(call, m_queue.now() + call.wait, reply); });
         return;
     }
-    const auto silence = [=, this] {
-        m_queue.after(clientPatience, [=] { reply(resultOf(call, PlatformOutcome::Unanswered)); });
+    const auto replyUnanswered = [=, this] {
+        m_queue.after(clientTimeout, [=] { reply(resultOf(call, PlatformOutcome::Unanswered)); });
     };
     const bool writes = call.operation == PlatformOperation::Put;
     m_writes += writes ? 1 : 0;
     if (writes && m_random.chance(m_faults.applyLate)) {
-        m_queue.after(milliseconds(m_random.below(latestWriteMs)), [=, this] { carryOut(call); });
-        silence();
+        m_queue.after(milliseconds(m_random.below(maxWriteDelayMs)), [=, this] { execute(call); });
+        replyUnanswered();
         return;
     }
     if (m_random.chance(m_faults.loseAnswers)) {
-        m_queue.after(latency, [=, this] { carryOut(call); });
-        silence();
+        m_queue.after(latency, [=, this] { execute(call); });
+        replyUnanswered();
         return;
     }
-    if (latency * 2 > clientPatience) {
-        m_queue.after(latency, [=, this] { carryOut(call); });
-        silence();
+    if (latency * 2 > clientTimeout) {
+        m_queue.after(latency, [=, this] { execute(call); });
+        replyUnanswered();
         return;
     }
     // The write takes effect half way, the answer arrives after as long again.
     m_queue.after(latency, [=, this] {
-        const PlatformResult result = carryOut(call);
+        const PlatformResult result = execute(call);
         m_queue.after(latency, [=] { reply(result); });
     });
 }
@@ -120,7 +120,7 @@
     return result;
 }
 
-PlatformResult FakePlatform::carryOut(const PlatformCall &call)
+PlatformResult FakePlatform::execute(const PlatformCall &call)
 {
     PlatformResult result = resultOf(call, PlatformOutcome::Ok);
     switch (call.operation) {
@@ -170,20 +170,20 @@
     m_queue.after(watchPoll, [=, this] { watch(call, limit, reply); });
 }
 
-void HostClock::setStanding(bool isStanding)
+void HostClock::setSuspended(bool isSuspended)
 {
     const TimePoint world = m_world.now();
-    if (m_standsSince) {
-        m_lost += world - *std::exchange(m_standsSince, std::nullopt);
+    if (m_suspendedSince) {
+        m_suspendedTotal += world - *std::exchange(m_suspendedSince, std::nullopt);
     }
-    if (isStanding) {
-        m_standsSince = world;
+    if (isSuspended) {
+        m_suspendedSince = world;
     }
 }
 
 TimePoint HostClock::now() const
 {
-    return m_standsSince.value_or(m_world.now()) - m_lost;
+    return m_suspendedSince.value_or(m_world.now()) - m_suspendedTotal;
 }
 
 bool isCrashing(const std::string &body)
--- a/test/sim/fakes.h
+++ b/test/sim/fakes.h
@@ -54,7 +54,7 @@
 
     ManualClock m_clock;
     TimePoint m_start = m_clock.now();
-    std::uint64_t m_made = 0;
+    std::uint64_t m_lastOrder = 0;
     std::priority_queue<Entry, std::vector<Entry>, std::greater<>> m_entries;
 };
 
@@ -67,14 +67,14 @@
         : m_world(world)
     {
     }
-    void setStanding(bool isStanding);
+    void setSuspended(bool isSuspended);
     [[nodiscard]] TimePoint now() const override;
     [[nodiscard]] WallTime wallNow() const override { return m_world.wallNow(); }
 
 private:
     const Clock &m_world;
-    Duration m_lost{};                      ///< That it has stood still.
-    std::optional<TimePoint> m_standsSince; ///< Of the world's time.
+    Duration m_suspendedTotal{};               ///< That it has stood still.
+    std::optional<TimePoint> m_suspendedSince; ///< Of the world's time.
 };
 
 /// What happened, as text. Keeps the last lines and a hash over all.
@@ -88,13 +88,13 @@
     void add(const std::string &line);
     [[nodiscard]] std::uint64_t hash() const { return m_hash; }
     /// How many lines are kept from now on.
-    void keepLines(std::size_t lines) { m_keptLines = lines; }
+    void setMaxLines(std::size_t lines) { m_maxLines = lines; }
     [[nodiscard]] const std::deque<std::string> &last() const { return m_last; }
 
 private:
     const EventQueue &m_queue;
     std::uint64_t m_hash = 0;
-    std::size_t m_keptLines = 60;
+    std::size_t m_maxLines = 60;
     std::deque<std::string> m_last;
 };
 
@@ -145,7 +145,7 @@
     [[nodiscard]] std::uint64_t writes() const { return m_writes; }
 
 private:
-    PlatformResult carryOut(const PlatformCall &call);
+    PlatformResult execute(const PlatformCall &call);
     PlatformResult put(const PlatformCall &call);
     void watch(const PlatformCall &call, TimePoint limit, const Reply &reply);
 
--- a/test/sim/loadendpoint.cpp
+++ b/test/sim/loadendpoint.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// A call takes from this share of the mean time to as much above it.
-constexpr double leastTimeShare = 0.6;
+constexpr double minTimeFactor = 0.6;
 /// The share of a call's time that a kept prompt saves.
-constexpr double promptSaving = 0.6;
+constexpr double promptHitSaving = 0.6;
 
 } // namespace
 
-void LoadEndpoint::take(const SendStage &stage, Done done)
+void LoadEndpoint::admit(const SendStage &stage, Done done)
 {
     if (m_down) {
         done({SendEvidence::NothingSent, {}, 0});
@@ -90,10 +90,10 @@
 
 Duration LoadEndpoint::timeOf(const std::string &prompt)
 {
-    const bool hit = m_pool.keptPrompts > 0 && touchPrompt(prompt);
+    const bool hit = m_pool.cachedPrompts > 0 && touchPrompt(prompt);
     m_promptHits += hit ? 1 : 0;
-    const double spread = leastTimeShare + 2 * (1 - leastTimeShare) * m_random.unit();
-    const double factor = spread * m_slowFactor * (hit ? 1 - promptSaving : 1);
+    const double spread = minTimeFactor + 2 * (1 - minTimeFactor) * m_random.unit();
+    const double factor = spread * m_slowFactor * (hit ? 1 - promptHitSaving : 1);
     return std::chrono::duration_cast<Duration>(m_pool.callTime * factor);
 }
 
@@ -105,7 +105,7 @@
         m_prompts.erase(found);
     }
     m_prompts.push_front(prompt);
-    if (m_prompts.size() > m_pool.keptPrompts) {
+    if (m_prompts.size() > m_pool.cachedPrompts) {
         m_prompts.pop_back();
     }
     return hit;
--- a/test/sim/loadendpoint.h
+++ b/test/sim/loadendpoint.h
@@ -25,7 +25,7 @@
     int endpoints = 1;
     int slots = 1;
     std::chrono::milliseconds callTime{10}; ///< Mean time of a call.
-    std::size_t keptPrompts = 0;            ///< Size of the prompt cache of each.
+    std::size_t cachedPrompts = 0;          ///< Size of the prompt cache of each.
 };
 
 /// How a call ended.
@@ -51,7 +51,7 @@
     }
 
     /// Takes in a call; \p done comes once, unless the call is cancelled.
-    void take(const SendStage &stage, Done done);
+    void admit(const SendStage &stage, Done done);
     /// Ends a call; gives the time that it held a slot.
     Duration cancel(const CallId &call);
     /// A daemon sent something here, at \p now.
--- a/test/sim/loadworld.h
+++ b/test/sim/loadworld.h
@@ -157,7 +157,7 @@
             add(pipeline);
         }
         for (const LoadPool &pool : m_setup.pools) {
-            add(PoolSpec{pool.name, "plain-service", 1, pool.keptPrompts > 0});
+            add(PoolSpec{pool.name, "plain-service", 1, pool.cachedPrompts > 0});
             for (int i = 0; i < pool.endpoints; ++i) {
                 EndpointSpec spec;
                 spec.name = fmt::format("{}-{}", pool.name, i);
@@ -306,7 +306,7 @@
             if (!m_calls.contains(stage.call)) {
                 return; // Cancelled on its way.
             }
-            to.take(stage, [=, this, &host](const LoadAnswer &answer) {
+            to.admit(stage, [=, this, &host](const LoadAnswer &answer) {
                 m_calls.erase(stage.call);
                 m_report.used(stage.call, answer.busy);
                 m_queue.after(networkDelay, [=, this, &host] { deliver(host, stage, answer); });
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -85,7 +85,7 @@
         event.streams = key.empty() && m_random.chance(0.5);
         m_checks.submitted({event.id, hostName, pipeline, body, key, event.streams});
         onHost(hostName, host.incarnation, [this, event](Host &at) {
-            m_checks.takenIn(event.id, *event.timeAllowed);
+            m_checks.admitted(event.id, *event.timeAllowed);
             at.requests->handle(event, *at.snapshot);
         });
         return true;
@@ -149,7 +149,7 @@
         m_trace.add("suspend " + name);
         host.frozen = true;
         host.isSuspended = true;
-        host.clock->setStanding(!G::countsSuspendedTime);
+        host.clock->setSuspended(!G::countsSuspendedTime);
     }
 
     void thaw(const std::string &name)
@@ -160,7 +160,7 @@
         }
         if (std::exchange(host.isSuspended, false)) {
             host.suspendedUntil = m_queue.now();
-            host.clock->setStanding(false);
+            host.clock->setSuspended(false);
         }
         m_trace.add("thaw " + name);
         host.frozen = false;
@@ -192,7 +192,7 @@
         ++endpoint.generation;
     }
     /// The platform's host list says from now on that an endpoint is leaving.
-    void leaveEndpoint(const std::string &name)
+    void markEndpointLeaving(const std::string &name)
     {
         FakeEndpoint &endpoint = m_endpoints.at(name);
         if (endpoint.leavingSince != TimePoint::max()) {
@@ -229,7 +229,7 @@
         store.remove(kind, dataCentre, current->version);
         for (auto &[name, endpoint] : m_endpoints) {
             if (endpoint.dataCentre == dataCentre) {
-                turnCold(name, endpoint);
+                makeCold(name, endpoint);
             }
         }
     }
@@ -341,7 +341,7 @@
 
     static constexpr std::chrono::milliseconds tickInterval{5};
     /// Part of the requests that an endpoint refuses which asks for pauses.
-    static constexpr double refusedShare = 0.7;
+    static constexpr double refusalProbability = 0.7;
     static constexpr std::chrono::milliseconds coldCheckTimeout{200};
     /// Letters of an answer that make a token.
     static constexpr std::size_t tokenLength = 4;
@@ -364,13 +364,13 @@
 
     /// The endpoint is cold from now on, and says so in its declaration. Each time by a
     /// millisecond more, for what says nothing new is no news.
-    void turnCold(const std::string &name, FakeEndpoint &endpoint)
+    void makeCold(const std::string &name, FakeEndpoint &endpoint)
     {
         endpoint.coldUntil = m_queue.now() + coldTime;
         standin::PlatformStore &store = m_platform.store();
         const auto current = store.get("Endpoint", name);
         nlohmann::json document = nlohmann::json::parse(current->value);
-        document["spec"]["coldMs"] = coldTime.count() + ++m_timesCold;
+        document["spec"]["coldMs"] = coldTime.count() + ++m_coldTransitions;
         store.put("Endpoint", name, current->version, document.dump());
     }
 
@@ -452,7 +452,7 @@
         m_queue.after(tickInterval, [=, this] {
             onHost(name, incarnation, [this](Host &host) {
                 if (host.control->heartbeatsDue()) {
-                    keepLimits(host);
+                    applyCurrentLimits(host);
                 }
                 host.control->tick();
                 recordEndpointUpdates(host);
@@ -462,7 +462,7 @@
             if (!host.alive || host.incarnation != incarnation) {
                 return;
             }
-            noteDisturbance(host);
+            recordDisturbance(host);
             // As the daemon does, ask the control only after the workers, behind
             // what they handed over: here, one tick later.
             const bool idle =
@@ -494,7 +494,7 @@
             perform(host, send);
         }
         for (const ClaimDecision &decision : output.decisions) {
-            m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+            m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
                 toRequests(name, start, decision);
             });
         }
@@ -505,13 +505,13 @@
             markLeaving(*host.snapshot, endpoint);
         }
         for (const EndpointLimitAnnounced &change : output.limits) {
-            keepLimit(host, change);
+            applyLimitUpdate(host, change);
         }
         for (const EndpointProbe &probe : output.probes) {
             perform(host, probe);
         }
         for (const RequestSuspected &suspect : output.suspects) {
-            m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+            m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
                 toRequests(name, start, suspect);
             });
         }
@@ -520,7 +520,7 @@
         }
     }
 
-    void keepLimit(Host &host, const EndpointLimitAnnounced &limit)
+    void applyLimitUpdate(Host &host, const EndpointLimitAnnounced &limit)
     {
         if (G::enforcesRateLimits) {
             applyLimit(*host.snapshot, limit.endpoint, limit.announcement,
@@ -528,15 +528,15 @@
         }
     }
 
-    void keepLimits(Host &host)
+    void applyCurrentLimits(Host &host)
     {
         for (const EndpointLimitAnnounced &limit : host.control->limits().inForce()) {
-            keepLimit(host, limit);
+            applyLimitUpdate(host, limit);
         }
     }
 
     /// The way between a worker's and the control's thread.
-    Duration handover() { return std::chrono::microseconds(10 + m_random.below(100)); }
+    Duration handoverDelay() { return std::chrono::microseconds(10 + m_random.below(100)); }
     Duration networkDelay() { return std::chrono::microseconds(200 + m_random.below(800)); }
 
     void publish(Host &host)
@@ -551,7 +551,7 @@
             }
         }
         host.snapshot = std::move(next);
-        keepLimits(host);
+        applyCurrentLimits(host);
         for (const std::string &endpoint : host.control->leavingEndpoints()) {
             markLeaving(*host.snapshot, endpoint);
         }
@@ -572,7 +572,7 @@
 
     void perform(Host &host, const ClaimRequest &action)
     {
-        m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+        m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start, action);
         });
     }
@@ -580,13 +580,13 @@
     void perform(Host &host, const EndpointNoticed &action)
     {
         if (action.notice.requestsPerSecond) {
-            m_checks.toldOfLimit(action.endpoint, host.incarnation);
+            m_checks.limitReported(action.endpoint, host.incarnation);
         }
         if (action.notice.isLeaving) {
             host.control->handleEndpointLeaving(action.endpoint);
-            m_checks.toldOfLeaving(action.endpoint, host.incarnation);
+            m_checks.departureReported(action.endpoint, host.incarnation);
         }
-        m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+        m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start,
                       EndpointLimitAnnounced{action.endpoint,
                                              {action.notice.requestsPerSecond, action.sentAt}});
@@ -600,18 +600,18 @@
         const ColdStateChecked silent{action.endpoint, m_queue.now(), std::nullopt};
         const FakeEndpoint &endpoint = m_endpoints.at(action.endpoint);
         if (endpoint.down || m_cuts.isCut(host.dataCentre, endpoint.dataCentre)) {
-            m_queue.after(coldCheckTimeout, [=, this] { takeColdState(name, start, silent); });
+            m_queue.after(coldCheckTimeout, [=, this] { handleColdState(name, start, silent); });
             return;
         }
         m_queue.after(networkDelay(), [=, this] {
             ColdStateChecked state = silent;
             state.coldFor = std::max<Duration>(
                 m_endpoints.at(state.endpoint).coldUntil - m_queue.now(), Duration::zero());
-            m_queue.after(networkDelay(), [=, this] { takeColdState(name, start, state); });
+            m_queue.after(networkDelay(), [=, this] { handleColdState(name, start, state); });
         });
     }
 
-    void takeColdState(const std::string &name, Incarnation start, const ColdStateChecked &state)
+    void handleColdState(const std::string &name, Incarnation start, const ColdStateChecked &state)
     {
         onHost(name, start, [=, this](Host &host) {
             recordColdState(*host.snapshot, state, host.control->coldShares(), host.clock->now());
@@ -627,14 +627,14 @@
 
     void perform(Host &host, const BrokenCallReport &action)
     {
-        m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+        m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start, action.broken);
         });
     }
 
     void perform(Host &host, const RequestCleared &action)
     {
-        m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+        m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start, action);
         });
     }
@@ -655,7 +655,7 @@
 
     void perform(Host &host, const ClaimFinish &action)
     {
-        m_queue.after(handover(), [=, this, name = host.name, start = host.incarnation] {
+        m_queue.after(handoverDelay(), [=, this, name = host.name, start = host.incarnation] {
             toControl(name, start, action);
         });
     }
@@ -730,21 +730,22 @@
             failStage(name, start, stage, SendEvidence::Sent);
             return;
         }
-        const bool excused = wasFrozenLately(m_hosts.at(name));
+        const bool excused = wasRecentlyFrozen(m_hosts.at(name));
         m_checks.arrivedAtPausing(stage, excused);
-        if (endpoint.pause > Duration::zero() && m_random.chance(refusedShare)) {
+        if (endpoint.pause > Duration::zero() && m_random.chance(refusalProbability)) {
             refuse(name, start, stage);
             return;
         }
-        m_checks.arrivedAtEndpoint(stage.endpoint, endpoint, stage, wokeLately(m_hosts.at(name)));
-        traceColdArrival(m_hosts.at(name), stage.endpoint);
-        m_checks.arrivedAtDataCentre(endpoint, stage, isInTouch(m_hosts.at(name)));
+        m_checks.arrivedAtEndpoint(stage.endpoint, endpoint, stage,
+                                   recentlyResumed(m_hosts.at(name)));
+        traceColdRequest(m_hosts.at(name), stage.endpoint);
+        m_checks.arrivedAtDataCentre(endpoint, stage, isStable(m_hosts.at(name)));
         if (endpoint.limit) {
-            m_checks.arrivedAtLimited(endpoint, stage, wasFrozenLately(m_hosts.at(name)));
+            m_checks.arrivedAtLimited(endpoint, stage, wasRecentlyFrozen(m_hosts.at(name)));
         }
         m_checks.ranAtEndpoint(stage);
         if (isCrashing(stage.request)) {
-            m_checks.crashingArrived(stage.request, isInTouch(m_hosts.at(name)));
+            m_checks.crashingArrived(stage.request, isStable(m_hosts.at(name)));
             crashSoon(name, start, stage);
             return;
         }
@@ -767,7 +768,7 @@
             event.notice = noticeOf(stage.endpoint);
             if (died || breaks) {
                 failStage(name, start, stage, SendEvidence::Sent);
-                misdeliver(name, start, event);
+                deliverLate(name, start, event);
                 return;
             }
             toRequests(name, start, event);
@@ -775,7 +776,7 @@
     }
 
     /// Traces what \p host believes of an endpoint that is cold and gets a request from it.
-    void traceColdArrival(const Host &host, const std::string &name)
+    void traceColdRequest(const Host &host, const std::string &name)
     {
         if (m_queue.now() >= m_endpoints.at(name).coldUntil || !host.alive) {
             return;
@@ -786,7 +787,7 @@
         m_trace.add(fmt::format("{} is cold and gets a request of {}, which {} and {} the platform "
                                 "(in touch: {})",
                                 name, host.name, knows ? "knows it" : "takes it for warm", access,
-                                isInTouch(host)));
+                                isStable(host)));
     }
 
     /// What the answers of the endpoint called \p name say of it now.
@@ -807,7 +808,7 @@
         event.status = absl::UnavailableError("refused");
         event.notice = noticeOf(stage.endpoint);
         event.notice->pause = m_endpoints.at(stage.endpoint).pause;
-        m_checks.pauseAsked(stage, event.notice->pause);
+        m_checks.pauseRequested(stage, event.notice->pause);
         m_queue.after(networkDelay(), [=, this] { toRequests(name, start, event); });
     }
 
@@ -830,26 +831,26 @@
 
     /// Whether \p host lived, was not frozen and reached a well platform for so long that
     /// it has to know what the others know.
-    [[nodiscard]] bool isInTouch(const Host &host) const
+    [[nodiscard]] bool isStable(const Host &host) const
     {
-        return m_queue.now() - host.disturbedAt >= contactTime;
+        return m_queue.now() - host.disturbedAt >= stabilizationTime;
     }
 
     /// Whether \p host was suspended and woke a moment ago: it may not have heard yet what
     /// was said meanwhile. Seen: one that was suspended for 1.9 s, frozen before that with
     /// the platform slow between, and sent to a leaving endpoint 0.9 ms after it woke.
-    [[nodiscard]] bool wokeLately(const Host &host) const
+    [[nodiscard]] bool recentlyResumed(const Host &host) const
     {
-        return host.suspendedUntil && m_queue.now() - *host.suspendedUntil < contactTime;
+        return host.suspendedUntil && m_queue.now() - *host.suspendedUntil < stabilizationTime;
     }
 
     /// Whether \p host stood still a moment ago: what it sent then may arrive with the rest.
-    [[nodiscard]] bool wasFrozenLately(const Host &host) const
+    [[nodiscard]] bool wasRecentlyFrozen(const Host &host) const
     {
-        return m_queue.now() - host.frozenAt < contactTime;
+        return m_queue.now() - host.frozenAt < stabilizationTime;
     }
 
-    void noteDisturbance(Host &host)
+    void recordDisturbance(Host &host)
     {
         if (host.frozen) {
             host.frozenAt = m_queue.now();
@@ -886,7 +887,7 @@
             if (died || token == stream.breakAt) {
                 failStage(stream.host, stream.start, stream.stage, SendEvidence::Sent);
                 piece.text = at < whole.size() ? whole.substr(at, tokenLength) : std::string();
-                misdeliver(stream.host, stream.start, piece);
+                deliverLate(stream.host, stream.start, piece);
                 return;
             }
             if (at >= whole.size()) {
@@ -907,7 +908,7 @@
     /// The answer of a call that was given up on still arrives, on the call that
     /// is now current for the request, or long after.
     template <typename Event>
-    void misdeliver(const std::string &name, Incarnation start, Event event)
+    void deliverLate(const std::string &name, Incarnation start, Event event)
     {
         if (!m_random.chance(m_faults.lateAnswer)) {
             return;
@@ -928,7 +929,7 @@
     WorldFaults m_faults;
     std::size_t m_maxMeshPeers; ///< With every other seed, heartbeats go through relays.
     int m_dataCentres;
-    std::int64_t m_timesCold = 0; ///< Endpoints that have turned cold so far.
+    std::int64_t m_coldTransitions = 0; ///< Endpoints that have turned cold so far.
     std::map<std::string, Host> m_hosts;
     std::map<std::string, FakeEndpoint> m_endpoints;
 };
--- a/utils/bench/policies.cpp
+++ b/utils/bench/policies.cpp
@@ -271,7 +271,7 @@
 {
     LoadSetup setup = standardSetup(seed);
     setup.routing = policy;
-    setup.pools.back().keptPrompts = fault == Fault::Prompts ? 12 : 0;
+    setup.pools.back().cachedPrompts = fault == Fault::Prompts ? 12 : 0;
     LoadWorld<AllGuards> world(setup);
     const double base = fault == Fault::HalfSlow ? 0.5 : 0.6;
     addEvenLoad(world, base * capacity, seconds(0), seconds(12), fault == Fault::Prompts ? 150 : 1);
