--- a/include/harelink/Config/jsonreader.h
+++ b/include/harelink/Config/jsonreader.h
@@ -1,9 +1,10 @@
-//===- harelink/Config/jsonreader.h - Checked reading of JSON ---*- C++ -*-===//
+//===- harelink/Config/jsonreader.h - Validating JSON reader ----*- C++ -*-===//
 ///
 /// \file
-/// Reads a JSON object field by field and lists every fault with its path:
-/// wrong types, values out of range, missing and unknown fields. Settings and
-/// resources are both read through it, so their errors read alike.
+/// Reads a JSON object field by field and collects all validation errors with
+/// their paths: wrong types, values out of range, missing and unknown fields.
+/// Settings and resources share this reader, so their error messages have the
+/// same form.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -24,64 +25,71 @@
 
 namespace harelink {
 
-/// All faults found so far, each as "path: what is wrong".
+/// Validation errors found so far, each formatted as "path: message".
 using Faults = std::vector<std::string>;
 
-/// Parses JSON with comments; an error names \p origin, the line and the column.
+/// Parses JSON with comments. The error for invalid input contains \p origin and the line
+/// number.
 [[nodiscard]] absl::StatusOr<nlohmann::json> parseJson(std::string_view text,
                                                        std::string_view origin);
 
-/// Joins \p faults into one text, one fault a line.
+/// Joins \p faults into one string, one error per line.
 [[nodiscard]] std::string joinFaults(const Faults &faults);
 
-/// Reads one JSON object.
+/// Reads and validates the fields of one JSON object. Methods that find an invalid value add
+/// an error and return a placeholder, so that reading can go on.
 class JsonReader
 {
 public:
-    /// \param value the object; must outlive the reader.
-    /// \param path where it stands, for messages.
-    /// \param faults where faults are added; must outlive the reader.
+    /// \param value the JSON object; must outlive the reader.
+    /// \param path path of the object within its document, for error messages.
+    /// \param faults receives the validation errors; must outlive the reader.
     JsonReader(const nlohmann::json &value, std::string path, Faults &faults);
 
-    /// A text that must be there and not be empty.
+    /// Returns a required, non-empty string.
     std::string text(const std::string &field);
-    /// A text, or \p fallback where the field is absent.
+    /// Returns a string, or \p fallback if the field is absent.
     std::string text(const std::string &field, const std::string &fallback);
-    /// A list of texts; empty where the field is absent.
+    /// Returns an array of strings; empty if the field is absent.
     std::vector<std::string> texts(const std::string &field);
-    /// A member object whose members are texts, each under a name of its own; empty where the
+    /// Returns a member object with arbitrary keys and string values as a map; empty if the
     /// field is absent.
     std::map<std::string, std::string> textsByName(const std::string &field);
-    /// A list of whole numbers within [\p low, \p high]; empty where the field is absent.
+    /// Returns an array of integers within [\p low, \p high]; empty if the field is absent.
     std::vector<std::int64_t> integers(const std::string &field, std::int64_t low,
                                        std::int64_t high);
-    /// A name: lower-case letters, digits and '-', at most 63.
+    /// Returns a required name: at most 63 characters from lower-case letters, digits and '-'.
     std::string name(const std::string &field);
-    /// A whole number within [\p low, \p high], or \p fallback.
+    /// Returns an integer within [\p low, \p high], or \p fallback if the field is absent. The
+    /// field is required if there is no fallback.
     std::int64_t integer(const std::string &field, std::int64_t low, std::int64_t high,
                          std::optional<std::int64_t> fallback = std::nullopt);
-    /// A number within [\p low, \p high], or \p fallback.
+    /// Returns a number within [\p low, \p high], or \p fallback if the field is absent.
     double number(const std::string &field, double low, double high, double fallback);
-    /// True or false, or \p fallback.
+    /// Returns a boolean, or \p fallback if the field is absent.
     bool boolean(const std::string &field, bool fallback);
-    /// A time in whole milliseconds within [\p low, \p high], or \p fallback.
+    /// Returns a duration in whole milliseconds within [\p low, \p high], or \p fallback if the
+    /// field is absent.
     std::chrono::milliseconds milliseconds(const std::string &field, std::chrono::milliseconds low,
                                            std::chrono::milliseconds high,
                                            std::optional<std::chrono::milliseconds> fallback);
-    /// An "address:port" with an IP number.
+    /// Returns a required "address:port" with an IPv4 address; host names are rejected.
     std::string endpointAddress(const std::string &field);
-    /// One of \p choices, or \p fallback where given.
+    /// Returns one of \p choices, or \p fallback if the field is absent. The field is required
+    /// if there is no fallback.
     std::string choice(const std::string &field, const std::vector<std::string> &choices,
                        std::optional<std::string> fallback = std::nullopt);
-    /// The member objects of an array, each with its path.
-    std::vector<JsonReader> objects(const std::string &field, std::size_t least, std::size_t most);
-    /// A member object that must be there.
+    /// Returns a reader for each element of an array that must have from \p minCount to
+    /// \p maxCount elements. The field may be absent if \p minCount is 0.
+    std::vector<JsonReader> objects(const std::string &field, std::size_t minCount,
+                                    std::size_t maxCount);
+    /// Returns a reader for a required member object.
     JsonReader object(const std::string &field);
-    /// Whether the field is there; marks it as known.
+    /// Returns whether the field is present and marks it as known.
     bool has(const std::string &field);
-    /// Adds a fault at \p field.
+    /// Adds a validation error for \p field.
     void fault(const std::string &field, std::string_view message);
-    /// Faults every field that nobody asked for. Call last.
+    /// Adds an error for each field that was never read. Must be called last.
     void finish();
 
 private:
@@ -91,7 +99,7 @@
     const nlohmann::json *m_value;
     std::string m_path;
     Faults *m_faults;
-    std::set<std::string> m_known;
+    std::set<std::string> m_knownFields;
 };
 
 } // namespace harelink
--- a/include/harelink/Config/objectreader.h
+++ b/include/harelink/Config/objectreader.h
@@ -1,9 +1,9 @@
-//===- harelink/Config/objectreader.h - Stored declarations -----*- C++ -*-===//
+//===- harelink/Config/objectreader.h - Stored object parsing ---*- C++ -*-===//
 ///
 /// \file
-/// Reads the objects in which a platform stores what operators declare. A platform
-/// that stores them in a form of its own brings a reader; the default reads one
-/// resource an object, as `harelink apply` writes them.
+/// Interface for parsing the objects that a platform stores into resources. A
+/// platform with its own object format provides an implementation; the default
+/// reads one resource per object, in the format that `harelink apply` writes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,28 +19,29 @@
 
 namespace harelink {
 
-/// Reads stored objects as resources.
+/// Converts stored objects to resources.
 class ObjectReader
 {
 public:
     virtual ~ObjectReader() = default;
-    /// The kinds to follow; the kinds of one group are listed and watched together.
+    /// Returns the kinds to watch; the kinds of one group are listed and watched together.
     [[nodiscard]] virtual const std::vector<std::vector<std::string>> &kindGroups() const = 0;
-    /// The kind of which each object is one endpoint, named as the object is.
+    /// Returns the kind whose objects each declare one endpoint of the same name.
     [[nodiscard]] virtual const std::string &endpointKind() const = 0;
-    /// Whether objects of that kind may vanish while the platform is out of reach and
-    /// come back after it, though their endpoints live.
+    /// Returns whether endpoint objects may be deleted while the platform is unreachable and
+    /// be recreated afterwards although their endpoints kept running.
     [[nodiscard]] virtual bool endpointObjectsExpire() const = 0;
-    /// The kind in which daemons declare a QuarantineSpec, as quarantineDocument() gives it.
+    /// Returns the kind in which daemons store a QuarantineSpec, as formatted by
+    /// quarantineDocument().
     [[nodiscard]] virtual const std::string &quarantineKind() const = 0;
-    /// The kind in which operators declare a DataCentreDrainSpec.
+    /// Returns the kind in which operators declare a DataCentreDrainSpec.
     [[nodiscard]] virtual const std::string &drainKind() const = 0;
-    /// What an object declares; an error names the fault.
+    /// Returns the resources that an object declares, or an error that lists what is invalid.
     [[nodiscard]] virtual absl::StatusOr<std::vector<Resource>>
     read(const std::string &kind, const std::string &name, const std::string &value) const = 0;
 };
 
-/// The reader of the product's own form.
+/// Returns the reader of harelink's own object format.
 [[nodiscard]] const ObjectReader &defaultObjectReader();
 
 } // namespace harelink
--- a/include/harelink/Config/resources.h
+++ b/include/harelink/Config/resources.h
@@ -2,7 +2,8 @@
 ///
 /// \file
 /// The kinds of resources that operators declare, with their validation. The
-/// daemon and the command line share this code, so both accept the same.
+/// daemon and the command line tool share this code, so both accept the same
+/// declarations.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,65 +26,67 @@
 
 namespace harelink {
 
-/// The largest value that the platform's object API holds, in bytes.
+/// Size limit of a value in the platform's object API, in bytes.
 inline constexpr std::size_t maxObjectBytes = 1'000'000;
-/// The most stages a pipeline may have.
+/// Maximum number of stages of a pipeline.
 inline constexpr std::size_t maxStages = 6;
 
 /// One stage of a pipeline.
 struct StageSpec
 {
-    std::string name; ///< As in "encode"; unique within the pipeline.
-    std::string pool; ///< The pool whose endpoints run it.
+    std::string name; ///< For example "encode"; unique within the pipeline.
+    std::string pool; ///< The pool whose endpoints run this stage.
 };
 
-/// Work in pieces that is done before a proxied request is sent to its endpoint. How
-/// many pieces there are, the request says.
+/// A stage that is computed in pieces before a proxied request is sent to its endpoint. The
+/// request determines the number of pieces.
 struct PieceStageSpec
 {
     std::string pool;
-    std::vector<std::uint32_t> after; ///< Earlier stages whose results every piece needs.
-    std::uint64_t resultBytes = 0;    ///< About how large the result of a piece is.
+    std::vector<std::uint32_t> after; ///< Indexes of earlier stages whose results each piece needs.
+    std::uint64_t resultBytes = 0;    ///< Approximate size of the result of a piece.
 };
 
-/// A pool and its share of the requests, against the other shares of a list.
+/// A pool and its weight relative to the other pools of the same split.
 struct WeightedPool
 {
     std::string pool;
     double weight = 1;
 };
 
-/// How the requests of a host and a path prefix are carried to a plain endpoint: method,
-/// path, headers and body stay as the caller sent them.
+/// How requests that match a host and a path prefix are proxied to an endpoint: method, path,
+/// headers and body are forwarded unchanged.
 struct RouteSpec
 {
     std::string host;
-    std::string pathPrefix; ///< Begins and ends with a slash.
+    std::string pathPrefix; ///< Starts and ends with a slash.
     std::vector<WeightedPool> split;
     std::vector<PieceStageSpec> pieceStages;
-    bool streams = false;           ///< Answers are events, passed on one by one.
-    bool resumable = false;         ///< A broken stream may go on elsewhere at its next event.
-    bool isPublic = false;          ///< No API key is asked for.
-    std::uint32_t maxEndpoints = 1; ///< That one request may be sent to.
-    int priority = 0;               ///< 0 is the most urgent.
-    std::chrono::milliseconds objective{1000};     ///< Wanted until the answer, or its first event.
-    std::chrono::milliseconds maxEventInterval{0}; ///< Wanted between two events; 0 for none.
-    /// A caller to whom nothing came for so long leaves; 0 where it waits for its deadline.
+    bool streams = false;   ///< Answers are event streams, forwarded event by event.
+    bool resumable = false; ///< A broken stream may resume at another endpoint with its next event.
+    bool isPublic = false;  ///< No API key is required.
+    std::uint32_t maxEndpoints = 1; ///< Max. endpoints that one request may be sent to.
+    int priority = 0;               ///< 0 is the highest priority.
+    std::chrono::milliseconds objective{
+        1000}; ///< Target for the time to the answer or its first event.
+    std::chrono::milliseconds maxEventInterval{0}; ///< Target between two events; 0 for none.
+    /// Period without any data after which a caller disconnects; 0 if callers wait until the
+    /// deadline.
     std::chrono::milliseconds clientTimeout{0};
-    /// Its requests are served in these regions only; empty where that is all the same.
+    /// Regions in which requests may be served; empty allows all.
     std::vector<std::string> allowedRegions;
 };
 
-/// A pipeline: stages that run one after the other for each request.
+/// A pipeline: stages that run sequentially for each request.
 struct PipelineSpec
 {
     std::string name;
-    std::vector<StageSpec> stages;            ///< From 1 to maxStages.
-    bool repeatable = true;                   ///< False: runs at most once per idempotency key.
-    std::chrono::milliseconds deadline{4000}; ///< Where the caller names none.
-    std::size_t maxBodyBytes = 65536;         ///< Of a caller's body, in bytes.
-    /// Its requests are carried unchanged; stages then is empty until a pool is drawn
-    /// from the split.
+    std::vector<StageSpec> stages;            ///< From 1 to maxStages; none if there is a route.
+    bool repeatable = true;                   ///< If false, runs at most once per idempotency key.
+    std::chrono::milliseconds deadline{4000}; ///< Default if the caller specifies none.
+    std::size_t maxBodyBytes = 65536;         ///< Size limit of a caller's body.
+    /// If set, requests are proxied unchanged; stages is empty until a pool is selected from
+    /// the split.
     std::optional<RouteSpec> route;
 };
 
@@ -91,144 +94,147 @@
 struct ClientAccountSpec
 {
     std::string name;
-    double weight = 1;                ///< Its share of capacity in a burst, against the others'.
-    std::string tokenSha256;          ///< Of the bearer token, in hexadecimal; may be empty.
-    std::vector<std::string> apiKeys; ///< Of proxied requests; any one of them will do.
-    std::optional<int> priority;      ///< Goes before the routes' own.
-    /// As of a route; where both name some, only those that both name.
+    double weight = 1;       ///< Share of capacity under overload, relative to other accounts.
+    std::string tokenSha256; ///< SHA-256 of the bearer token, in hexadecimal; may be empty.
+    std::vector<std::string> apiKeys; ///< API keys for proxied requests; each of them is valid.
+    std::optional<int> priority;      ///< Overrides the priority of routes.
+    /// As in RouteSpec; if both list regions, only those in both lists are allowed.
     std::vector<std::string> allowedRegions;
 };
 
-/// A version of a model that endpoints are to serve.
+/// A version of a model that endpoints are required to serve.
 struct ModelVersionSpec
 {
     std::string name;
     std::string model;
     std::string version;
-    std::string pool; ///< Whose endpoints serve it.
+    std::string pool; ///< The pool whose endpoints serve it.
 };
 
-/// How the endpoints of a pool work on pieces: several in one call.
+/// How the endpoints of a pool compute pieces: in batches, one batch per call.
 struct PieceWorkSpec
 {
-    std::uint32_t batch = 1;                ///< Most pieces in a call.
-    std::uint32_t queue = 0;                ///< Calls that an endpoint lets wait.
-    std::chrono::microseconds callTime{0};  ///< Of a call, whatever is in it.
-    std::chrono::microseconds pieceTime{0}; ///< About, for each piece besides.
-    std::uint64_t resultBufferBytes = 0;    ///< For results at one endpoint.
-    std::chrono::milliseconds resultTtl{0}; ///< A result is kept so long if not freed.
+    std::uint32_t batch = 1;                ///< Max. pieces per call.
+    std::uint32_t queue = 0;                ///< Max. calls that an endpoint queues.
+    std::chrono::microseconds callTime{0};  ///< Fixed time per call, independent of its pieces.
+    std::chrono::microseconds pieceTime{0}; ///< Approximate additional time per piece.
+    std::uint64_t resultBufferBytes = 0;    ///< Size of the result buffer of one endpoint.
+    std::chrono::milliseconds resultTtl{0}; ///< Period for which a result is kept unless freed.
 };
 
-/// What one model engine of a pool holds.
+/// Capacity of each model engine of a pool.
 struct ModelEngineSpec
 {
-    std::uint64_t cacheTokens = 0; ///< Shared by running requests and cached prompts.
+    std::uint64_t cacheTokens =
+        0; ///< KV cache size, shared by running requests and cached prompts.
 };
 
-/// A pool of endpoints that can stand for one another.
+/// A pool of interchangeable endpoints.
 struct PoolSpec
 {
     std::string name;
-    std::string protocol;        ///< Name of a stage protocol plug-in.
-    double costPerSecond = 1;    ///< Price of a second of an endpoint's time.
-    bool hasPromptCache = false; ///< Its endpoints are faster on a prompt they saw lately.
+    std::string protocol;        ///< Name of the stage protocol plug-in.
+    double costPerSecond = 1;    ///< Cost of one second of endpoint time.
+    bool hasPromptCache = false; ///< Endpoints are faster on recently processed prompts.
     std::optional<PieceWorkSpec> pieces;
     std::optional<ModelEngineSpec> engine;
-    /// So long an endpoint that has started is cold, where it does not say.
+    /// Cold period after the start of an endpoint that does not report one itself.
     std::chrono::milliseconds coldTime{0};
-    /// Requests a second that it bears meanwhile; 0 where that is not said.
+    /// Requests per second that a cold endpoint can handle; 0 if unspecified.
     double coldRate = 0;
-    /// Path of its endpoints' status check; empty where they have none.
+    /// Path of the endpoints' status check; empty if there is none.
     std::string statusPath;
 };
 
 /// An endpoint.
 struct EndpointSpec
 {
-    /// One name for each of its lives: an endpoint that starts again under the identity that
-    /// it had holds and knows nothing of before, so it is another endpoint to all that is
-    /// kept by name.
+    /// Unique per incarnation: an endpoint that restarts under the same identity has lost its
+    /// state, so all state that is kept by endpoint name must treat it as another endpoint.
     std::string name;
     std::string pool;
-    std::string address; ///< IP number and port.
+    std::string address; ///< IPv4 address and port.
     std::string dataCentre;
-    int slots = 1;                     ///< Calls it works on at the same time.
-    bool refusesBeforeRunning = false; ///< Its 429 and 503 mean that nothing ran.
-    bool checksFencing = false;        ///< It refuses an order with an old fencing number.
-    bool leaving = false;              ///< It said itself that it is to get no new work.
-    /// It said that it stays cold for so long from then on; nothing where it says nothing.
+    int slots = 1;                     ///< Number of calls that it runs concurrently.
+    bool refusesBeforeRunning = false; ///< Its 429 and 503 replies mean that nothing ran.
+    bool checksFencing = false;        ///< It rejects calls with an outdated fencing token.
+    bool leaving = false;              ///< Self-reported: must get no new work.
+    /// Self-reported remaining cold period, counted from the report; std::nullopt if it reports
+    /// none.
     std::optional<std::chrono::milliseconds> coldFor;
-    std::string identity; ///< What it calls itself in each of its lives; empty: its name.
-    WallTime startedAt;   ///< The beginning of this life; the epoch where it does not tell.
+    std::string identity; ///< Name shared by all incarnations; if empty, the same as name.
+    WallTime startedAt;   ///< Start of this incarnation; the epoch if not reported.
 
-    /// What it is asked to be, and what it is placed by: the same in each of its lives.
+    /// Returns the name that is the same for all incarnations. It is sent to the endpoint as the
+    /// expected identity and used as its key for placement.
     [[nodiscard]] const std::string &stableName() const
     {
         return identity.empty() ? name : identity;
     }
 };
 
-/// Requests that are not run any more, since endpoints end under them. Daemons declare it;
-/// operators lift it by deleting it.
+/// Requests that are no longer run because they crash endpoints. Daemons declare a quarantine;
+/// operators lift it by deleting the object.
 struct QuarantineSpec
 {
-    Hash128 digest; ///< Of the requests; in hexadecimal also the resource's name.
+    Hash128 digest; ///< Digest of the requests; its hexadecimal form is the resource name.
     std::string pool;
-    std::vector<std::string> endpoints; ///< That ended, in order.
+    std::vector<std::string> endpoints; ///< Endpoints that crashed, in order.
     WallTime since;
-    WallTime until; ///< From then on such requests are run again.
+    WallTime until; ///< End of the quarantine; such requests are run again.
 };
 
-/// A data centre whose endpoints are to get nothing new until this is deleted. It is planned
-/// work: what they have begun ends there, and results that lie there may still be read.
+/// Planned drain of a data centre: until this object is deleted, its endpoints get no new work.
+/// Work in progress completes there, and results stored there can still be read.
 struct DataCentreDrainSpec
 {
     std::string name;
-    std::string dataCentre; ///< One that no endpoint stands in is no fault.
+    std::string dataCentre; ///< May be a data centre without endpoints.
 };
 
-/// The region in which a data centre stands.
+/// The region of a data centre.
 struct DataCentreSpec
 {
     std::string name;
     std::string region;
 };
 
-/// What a resource holds, by kind.
+/// The specification of a resource, by kind.
 using ResourceSpec =
     std::variant<PipelineSpec, ClientAccountSpec, ModelVersionSpec, PoolSpec, EndpointSpec,
                  QuarantineSpec, DataCentreDrainSpec, DataCentreSpec>;
 
-/// A resource as an operator declares it.
+/// A declared resource.
 struct Resource
 {
     std::string kind;
     std::string name;
     ResourceSpec spec;
-    nlohmann::json document; ///< The whole declaration, as it is stored.
-    /// The version that the declaration was made from, where it says so: it may
-    /// replace no other. Not part of what is stored.
+    nlohmann::json document; ///< The complete declaration as stored.
+    /// The stored version that the declaration is based on, if specified: the declaration may
+    /// only replace this version (optimistic concurrency). Not part of the stored document.
     std::optional<std::uint64_t> baseVersion;
 };
 
-/// The declaration of \p spec, as readResource() reads it.
+/// Returns the declaration of \p spec in the format that readResource() accepts.
 [[nodiscard]] nlohmann::json quarantineDocument(const QuarantineSpec &spec);
 
-/// The names of all kinds, in the order in which a file is best applied.
+/// Returns all kinds, in the preferred order for applying a file.
 [[nodiscard]] const std::vector<std::string> &resourceKinds();
 
-/// Reads one resource; an error lists every fault with its path.
+/// Parses and validates one resource; the error lists all invalid fields with their paths.
 ///
 /// \param document an object with "kind", "name" and "spec".
-/// \param origin the file or object it came from, for messages.
+/// \param origin name of the source file or object, for error messages.
 [[nodiscard]] absl::StatusOr<Resource> readResource(const nlohmann::json &document,
                                                     std::string_view origin);
 
-/// Checks that whatever a pipeline of \p resources refers to is among them; for a whole
-/// configuration that comes as one. An error names each missing pool.
+/// Checks that all pools that the pipelines of \p resources refer to exist, and that piece
+/// stages only depend on earlier ones. For configurations that arrive as a whole. The error
+/// lists each invalid reference.
 [[nodiscard]] absl::Status checkReferences(const std::vector<Resource> &resources);
 
-/// Reads a file of one resource or of an array of them.
+/// Parses a file that contains one resource or an array of resources.
 [[nodiscard]] absl::StatusOr<std::vector<Resource>> readResources(std::string_view text,
                                                                   std::string_view origin);
 
--- a/include/harelink/Config/settings.h
+++ b/include/harelink/Config/settings.h
@@ -1,7 +1,7 @@
-//===- harelink/Config/settings.h - The daemon's settings -------*- C++ -*-===//
+//===- harelink/Config/settings.h - Daemon settings -------------*- C++ -*-===//
 ///
 /// \file
-/// The settings file of harelinkd: JSON with comments, checked whole at start.
+/// The settings file of harelinkd: JSON with comments, fully validated at startup.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,63 +20,68 @@
 
 namespace harelink {
 
-/// How a caller proves which client account it speaks for.
+/// How the client account of a caller is authenticated.
 enum class CallerTrust {
-    BearerToken, ///< A token whose SHA-256 stands in the ClientAccount.
-    Balancer,    ///< The balancer in front sets the account's header.
+    BearerToken, ///< By a token whose SHA-256 is declared in the ClientAccount.
+    Balancer,    ///< By a trusted load balancer that sets the account header.
 };
 
-/// The keys under which daemons talk to each other, in Z85. All daemons of a fleet
-/// have the same pair.
+/// The CURVE keys for connections between daemons, Z85-encoded. All daemons of a fleet
+/// share one key pair.
 struct PeerKeys
 {
     std::string publicKey;
     std::string secretKey;
-    std::vector<std::string> accepted; ///< Public keys of peers besides the own one.
+    std::vector<std::string> accepted; ///< Further public keys accepted from peers.
     bool operator==(const PeerKeys &) const = default;
 };
 
-/// Everything a daemon is told at start.
+/// The settings of a daemon.
 struct Settings
 {
-    std::string host;       ///< This host's name, unique.
-    std::string dataCentre; ///< Where it stands.
-    /// The region of each data centre; of one that is not named nothing is known.
+    std::string host;       ///< Name of this host, unique in the fleet.
+    std::string dataCentre; ///< Data centre of this host.
+    /// Region by data centre; the region of a data centre that is not listed is unknown.
     std::map<std::string, std::string> regions;
-    std::string callerAddress;   ///< Listens for callers.
-    std::string operatorAddress; ///< Listens for operators: health, metrics.
-    std::string peerAddress;     ///< Listens for other daemons.
-    std::string platformAddress; ///< The platform's object API.
-    double capacity = 1;         ///< Of this host, in cores; peers give it work by that.
+    std::string callerAddress;   ///< Listening address for callers.
+    std::string operatorAddress; ///< Listening address for operators: health, metrics.
+    std::string peerAddress;     ///< Listening address for other daemons.
+    std::string platformAddress; ///< Address of the platform's object API.
+    double capacity = 1; ///< Capacity of this host in cores, by which peers assign work to it.
     CallerTrust callerTrust = CallerTrust::BearerToken;
-    std::optional<PeerKeys> peerKeys;  ///< Nothing where the network is trusted.
-    std::string routingPolicy;         ///< Name of a plug-in.
-    std::string dialect = "harelink";  ///< Name of the plug-in that speaks to the platform.
-    std::string readyPath = "/readyz"; ///< Where the balancer asks operatorAddress.
-    int watchers = 2;                  ///< Daemons of a data centre that watch the platform.
-    double retryRatio = 0.1;           ///< Repeats of proxied requests, for each request.
-    double retryAllowance = 200;       ///< Repeats besides, of all daemons together.
-    std::chrono::milliseconds retryWindow{10'000}; ///< In any window of this length.
-    std::string logLevel;                          ///< debug, info, warning or error.
-    int workers = 2;                               ///< Worker threads.
-    int listenerThreads = 2;                       ///< Threads that read callers' connections.
-    std::size_t maxRequests = 10'000;              ///< In progress on one worker; more are refused.
-    std::chrono::milliseconds platformTimeout{1000}; ///< After it a call counts as silent.
-    std::chrono::milliseconds drainLimit{10'000};    ///< A planned stop takes no longer.
-    /// Requests under which endpoints ended are not run for so long, unless it is lifted.
+    std::optional<PeerKeys> peerKeys; ///< std::nullopt if the network is trusted.
+    std::string routingPolicy;        ///< Name of the routing plug-in.
+    std::string dialect = "harelink"; ///< Name of the plug-in for the platform's protocol.
+    std::string readyPath =
+        "/readyz";               ///< Readiness path for the load balancer, on operatorAddress.
+    int watchers = 2;            ///< Number of daemons per data centre that watch the platform.
+    double retryRatio = 0.1;     ///< Retries of proxied requests allowed per request.
+    double retryAllowance = 200; ///< Additional retries per retryWindow, for all daemons together.
+    std::chrono::milliseconds retryWindow{10'000}; ///< Length of the window for the retry limit.
+    std::string logLevel;                          ///< One of debug, info, warning, error.
+    int workers = 2;                               ///< Number of worker threads.
+    int listenerThreads = 2;          ///< Number of threads that read callers' connections.
+    std::size_t maxRequests = 10'000; ///< Max. requests in progress per worker; more are refused.
+    std::chrono::milliseconds platformTimeout{
+        1000}; ///< After it a platform call counts as unanswered.
+    std::chrono::milliseconds drainLimit{10'000}; ///< Max. duration of a planned shutdown.
+    /// Period for which requests that crashed endpoints are not run, unless an operator lifts
+    /// the quarantine.
     std::chrono::milliseconds quarantineDuration{86'400'000};
-    std::chrono::milliseconds keyRetention{86'400'000}; ///< An idempotency key is remembered.
-    /// A caller's connection may be silent so long between two requests.
+    std::chrono::milliseconds keyRetention{86'400'000}; ///< Retention of idempotency keys.
+    /// Idle timeout of a caller's connection between two requests.
     std::chrono::milliseconds idleLimit{120'000};
-    /// For so long after "not ready" new requests on open connections are still served.
+    /// Period after the switch to "not ready" in which new requests on open connections are still
+    /// served.
     std::chrono::milliseconds balancerGrace{500};
     bool operator==(const Settings &) const = default;
 };
 
-/// Reads settings; an error lists every fault with its path.
+/// Parses and validates settings; the error lists all invalid fields with their paths.
 ///
-/// \param routingPolicies the names that are registered, for the check.
-/// \param dialects the same of dialects.
+/// \param origin name of the file, for error messages.
+/// \param routingPolicies names of the registered routing policies.
+/// \param dialects names of the registered platform dialects.
 [[nodiscard]] absl::StatusOr<Settings> readSettings(std::string_view text, std::string_view origin,
                                                     const std::vector<std::string> &routingPolicies,
                                                     const std::vector<std::string> &dialects = {
--- a/lib/Config/jsonreader.cpp
+++ b/lib/Config/jsonreader.cpp
@@ -89,7 +89,7 @@
 
 const nlohmann::json *JsonReader::find(const std::string &field)
 {
-    m_known.insert(field);
+    m_knownFields.insert(field);
     const auto found = m_value->find(field);
     return found == m_value->end() ? nullptr : &*found;
 }
@@ -285,13 +285,13 @@
     return value;
 }
 
-std::vector<JsonReader> JsonReader::objects(const std::string &field, std::size_t least,
-                                            std::size_t most)
+std::vector<JsonReader> JsonReader::objects(const std::string &field, std::size_t minCount,
+                                            std::size_t maxCount)
 {
     std::vector<JsonReader> readers;
     const nlohmann::json *value = find(field);
     if (value == nullptr) {
-        if (least > 0) {
+        if (minCount > 0) {
             fault(field, "is missing");
         }
         return readers;
@@ -300,9 +300,9 @@
         fault(field, "must be an array");
         return readers;
     }
-    if (value->size() < least || value->size() > most) {
-        fault(field,
-              fmt::format("must have from {} to {} members, has {}", least, most, value->size()));
+    if (value->size() < minCount || value->size() > maxCount) {
+        fault(field, fmt::format("must have from {} to {} members, has {}", minCount, maxCount,
+                                 value->size()));
         return readers;
     }
     for (std::size_t i = 0; i < value->size(); ++i) {
@@ -324,7 +324,7 @@
 void JsonReader::finish()
 {
     for (const auto &[field, value] : m_value->items()) {
-        if (!m_known.contains(field)) {
+        if (!m_knownFields.contains(field)) {
             fault(field, "is an unknown field");
         }
     }
