--- a/include/harelink/Adapters/dialect.h
+++ b/include/harelink/Adapters/dialect.h
@@ -111,7 +111,7 @@
     /// \param dialect outlives the stream.
     ProxiedStream(const ProxiedDialect &dialect, const SendStage &stage);
     /// Takes in a part of the body; gives the events that it made whole, in order.
-    std::vector<StageEvent> take(const HttpResult &head, const std::string &bytes);
+    std::vector<StageEvent> handleBody(const HttpResult &head, const std::string &bytes);
     /// What the end of the call says.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(HttpResult result) const;
 
--- a/include/harelink/Adapters/eventloop.h
+++ b/include/harelink/Adapters/eventloop.h
@@ -25,7 +25,7 @@
 public:
     using Task = std::function<void()>;
     /// Called once a turn; tells when it wants the next turn at the latest.
-    using Turn = std::function<std::optional<TimePoint>()>;
+    using IterationCallback = std::function<std::optional<TimePoint>()>;
 
     /// Hands \p task to the loop's thread; from any thread.
     void post(Task task);
@@ -33,7 +33,7 @@
     ///
     /// \param extraDescriptor a descriptor that starts a turn when it can be
     ///        read, or -1.
-    void run(const Clock &clock, const Turn &turn, int extraDescriptor = -1);
+    void run(const Clock &clock, const IterationCallback &turn, int extraDescriptor = -1);
     /// Ends run() after the turn in progress; from any thread.
     void stop();
     /// The calls of this thread.
--- a/include/harelink/Adapters/eventstream.h
+++ b/include/harelink/Adapters/eventstream.h
@@ -21,7 +21,7 @@
 
 /// Where the event that begins at \p from ends, behind its empty line; npos while more
 /// bytes are needed. The bytes are left as they are, for passing on.
-[[nodiscard]] std::size_t endOfEvent(std::string_view bytes, std::size_t from);
+[[nodiscard]] std::size_t findEventEnd(std::string_view bytes, std::size_t from);
 /// The value of the field \p name of one whole event, or nothing.
 [[nodiscard]] std::optional<std::string_view> eventField(std::string_view event,
                                                          std::string_view name);
--- a/include/harelink/Adapters/httpclient.h
+++ b/include/harelink/Adapters/httpclient.h
@@ -31,18 +31,18 @@
     /// The path and query to send, unchanged, in place of the url's; may be empty.
     std::string target;
     /// Sends no header field but those given and those that frame the body.
-    bool onlyOwnHeaders = false;
+    bool omitDefaultHeaders = false;
     /// Whether the library may send it again when a kept connection breaks. Off,
     /// the call gets a connection of its own, which is never tried twice.
     bool resendable = true;
     /// Opens a connection of its own, sends nothing, and is done.
-    bool onlyConnects = false;
+    bool connectOnly = false;
 };
 
 /// What is known of the connection of a call.
 enum class HttpConnection {
     Unknown,
-    Made,
+    Established,
     Refused, ///< Nobody listens there.
 };
 
@@ -68,9 +68,9 @@
 class HttpClient
 {
 public:
-    using Done = std::function<void(HttpResult)>;
+    using DoneCallback = std::function<void(HttpResult)>;
     /// Takes a part of the body as it comes; the headers so far are in the result.
-    using Part = std::function<void(const HttpResult &, const std::string &)>;
+    using BodyCallback = std::function<void(const HttpResult &, const std::string &)>;
 
     HttpClient();
     ~HttpClient();
@@ -81,7 +81,7 @@
     ///
     /// \param part is called from poll() with each part of the body, in order and
     ///        before \p done, whose result then has no body; may be empty.
-    std::uint64_t send(const HttpCall &call, Done done, Part part = {});
+    std::uint64_t send(const HttpCall &call, DoneCallback done, BodyCallback part = {});
     /// Stops a call; its \p done is not called.
     void cancel(std::uint64_t id);
     /// Moves calls on, waiting at most \p timeout for something to happen.
--- a/include/harelink/Adapters/httpserver.h
+++ b/include/harelink/Adapters/httpserver.h
@@ -58,7 +58,7 @@
     /// responder. Only the first part's status and headers count.
     bool more = false;
     /// Called on a server's thread if this part cannot be sent; may be empty.
-    std::function<void()> onBroken;
+    std::function<void()> onSendFailed;
 };
 
 /// Sends the reply; from any thread. Called once, or once for each part of a
@@ -72,7 +72,7 @@
 {
     std::string address; ///< IP number and port; port 0 takes a free one.
     int threads = 1;
-    std::size_t largestBody = 1'100'000; ///< Larger ones end the connection.
+    std::size_t maxBodyBytes = 1'100'000; ///< Larger ones end the connection.
     /// A connection may be silent so long between two requests.
     std::chrono::milliseconds idleLimit{120'000};
     /// Told of each connection that ended, on a thread of the server; may be empty.
--- a/include/harelink/Adapters/peerlink.h
+++ b/include/harelink/Adapters/peerlink.h
@@ -54,9 +54,9 @@
     PeerLink &operator=(const PeerLink &) = delete;
 
     /// From now on every connection is under CURVE. Before listen().
-    void secure(const PeerKeys &keys);
+    void enableCurve(const PeerKeys &keys);
     /// Expects receivers to hold the pair of \p publicKey instead of the own pair, as
-    /// while keys are exchanged. After secure().
+    /// while keys are exchanged. After enableCurve().
     void trustServer(const std::string &publicKey);
     /// Listens on \p address, an IP number and a port; port 0 takes a free one.
     absl::Status listen(const std::string &address);
@@ -76,13 +76,13 @@
     std::optional<PeerMessage> receive();
     [[nodiscard]] const PeerLinkCounters &counters() const { return m_counters; }
     /// Connections refused for want of a known key.
-    [[nodiscard]] std::uint64_t refused() const;
+    [[nodiscard]] std::uint64_t refusedConnections() const;
 
 private:
     struct Sockets;
 
     /// A message that waits for a connection.
-    struct Waiting
+    struct PendingMessage
     {
         std::string address;
         std::string bytes;
@@ -96,7 +96,7 @@
     std::unique_ptr<Sockets> m_sockets;
     std::uint16_t m_port = 0; ///< The sockets themselves belong to one thread.
     std::set<std::string> m_unusableAddresses;
-    std::vector<Waiting> m_waiting;
+    std::vector<PendingMessage> m_waiting;
     TimePoint m_nextFlush = TimePoint::max();
     PeerLinkCounters m_counters;
 };
--- a/include/harelink/Adapters/platformclient.h
+++ b/include/harelink/Adapters/platformclient.h
@@ -24,7 +24,7 @@
 namespace harelink {
 
 /// What the status of \p result, or its absence, says of a call to an object store.
-[[nodiscard]] PlatformOutcome outcomeOfStoreCall(const HttpResult &result);
+[[nodiscard]] PlatformOutcome storeCallOutcome(const HttpResult &result);
 /// The HTTP call that carries \p call.
 ///
 /// \param address IP number and port of the platform.
--- a/include/harelink/Adapters/stageprotocol.h
+++ b/include/harelink/Adapters/stageprotocol.h
@@ -37,7 +37,7 @@
 struct StreamEvent
 {
     std::string text; ///< Of one token; empty where the event brings none.
-    bool last = false;
+    bool isLast = false;
 };
 
 /// Translates for one kind of endpoint.
@@ -64,7 +64,7 @@
 /// The same where \p result brought no whole answer.
 [[nodiscard]] StageFailed callFailure(const SendStage &stage, const HttpResult &result);
 /// That the answer to \p stage ended before its last event.
-[[nodiscard]] StageFailed cutAnswer(const SendStage &stage, std::string_view message);
+[[nodiscard]] StageFailed truncatedAnswer(const SendStage &stage, std::string_view message);
 /// The HTTP call that carries \p stage.
 [[nodiscard]] HttpCall encodeStage(const StageProtocol &protocol, const SendStage &stage);
 
@@ -79,7 +79,7 @@
     /// \param protocol outlives the stream.
     StageStream(const StageProtocol &protocol, const SendStage &stage);
     /// Takes in a part of the body; gives what it brought, in order.
-    std::vector<StageChunk> take(const HttpResult &head, const std::string &body);
+    std::vector<StageChunk> handleBody(const HttpResult &head, const std::string &body);
     /// What the end of the call says.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(const HttpResult &result) const;
 
--- a/lib/Adapters/curveauthenticator.h
+++ b/lib/Adapters/curveauthenticator.h
@@ -37,7 +37,7 @@
     CurveAuthenticator &operator=(const CurveAuthenticator &) = delete;
 
     /// Connections that were refused.
-    [[nodiscard]] std::uint64_t refused() const { return m_refused; }
+    [[nodiscard]] std::uint64_t refusedConnections() const { return m_refused; }
 
 private:
     void run();
--- a/lib/Adapters/dialect.cpp
+++ b/lib/Adapters/dialect.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-std::vector<StageEvent> ProxiedStream::take(const HttpResult &head, const std::string &bytes)
+std::vector<StageEvent> ProxiedStream::handleBody(const HttpResult &head, const std::string &bytes)
 {
     m_rest += bytes;
     m_streams = m_streams || m_dialect.isStream(head);
@@ -34,8 +34,8 @@
         return events;
     }
     std::size_t begin = 0;
-    for (std::size_t end = endOfEvent(m_rest, begin); end != std::string::npos;
-         end = endOfEvent(m_rest, begin)) {
+    for (std::size_t end = findEventEnd(m_rest, begin); end != std::string::npos;
+         end = findEventEnd(m_rest, begin)) {
         const std::string_view event = std::string_view(m_rest).substr(begin, end - begin);
         events.push_back(m_dialect.decodeEvent(m_stage, head, event));
         begin = end;
@@ -54,10 +54,10 @@
         return callFailure(m_stage, result);
     }
     if (!m_rest.empty()) {
-        return cutAnswer(m_stage, "the stream ended within an event");
+        return truncatedAnswer(m_stage, "the stream ended within an event");
     }
     if (!isFramed(result)) {
-        return cutAnswer(m_stage, "the end of the stream cannot be told from a break");
+        return truncatedAnswer(m_stage, "the end of the stream cannot be told from a break");
     }
     return m_dialect.decode(m_stage, result);
 }
--- a/lib/Adapters/eventloop.cpp
+++ b/lib/Adapters/eventloop.cpp
@@ -38,7 +38,7 @@
     return !tasks.empty();
 }
 
-void EventLoop::run(const Clock &clock, const Turn &turn, int extraDescriptor)
+void EventLoop::run(const Clock &clock, const IterationCallback &turn, int extraDescriptor)
 {
     while (!m_stopped) {
         runTasks();
--- a/lib/Adapters/eventstream.cpp
+++ b/lib/Adapters/eventstream.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::size_t endOfEvent(std::string_view bytes, std::size_t from)
+std::size_t findEventEnd(std::string_view bytes, std::size_t from)
 {
     for (std::size_t at = bytes.find('\n', from); at != std::string_view::npos;
          at = bytes.find('\n', at + 1)) {
--- a/lib/Adapters/httpclient.cpp
+++ b/lib/Adapters/httpclient.cpp
@@ -130,7 +130,7 @@
 class HttpClient::Transfer
 {
 public:
-    Transfer(const HttpCall &call, std::uint64_t id, Done done, Part part,
+    Transfer(const HttpCall &call, std::uint64_t id, DoneCallback done, BodyCallback part,
              std::vector<std::uint64_t> &withParts)
         : m_id(id)
         , m_easy(curl_easy_init())
@@ -160,10 +160,10 @@
             curl_easy_setopt(m_easy, CURLOPT_POSTFIELDS, m_body.data());
             curl_easy_setopt(m_easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(m_body.size()));
         }
-        if (call.onlyConnects) {
+        if (call.connectOnly) {
             curl_easy_setopt(m_easy, CURLOPT_CONNECT_ONLY, 1L);
         }
-        if (!call.resendable || call.onlyConnects) {
+        if (!call.resendable || call.connectOnly) {
             // On a kept connection that breaks, libcurl would send a POST again.
             curl_easy_setopt(m_easy, CURLOPT_FRESH_CONNECT, 1L);
             curl_easy_setopt(m_easy, CURLOPT_FORBID_REUSE, 1L);
@@ -173,7 +173,7 @@
         }
         m_headers = curl_slist_append(m_headers, "Expect:");
         for (const char *added : {"accept", "content-type"}) {
-            if (call.onlyOwnHeaders && !hasField(call.headers, added)) {
+            if (call.omitDefaultHeaders && !hasField(call.headers, added)) {
                 m_headers = curl_slist_append(m_headers, (std::string(added) + ":").c_str());
             }
         }
@@ -201,7 +201,7 @@
         curl_easy_getinfo(m_easy, CURLINFO_REQUEST_SIZE, &requestBytes);
         m_result.sent = requestBytes > 0;
         if (code == CURLE_OK || m_result.sent) {
-            m_result.connection = HttpConnection::Made;
+            m_result.connection = HttpConnection::Established;
         } else if (code == CURLE_COULDNT_CONNECT && systemErrorOf(m_easy) == ECONNREFUSED) {
             m_result.connection = HttpConnection::Refused;
         }
@@ -220,14 +220,14 @@
     {
         if (m_part && !m_result.body.empty()) {
             // The callback may end this call: it gets copies.
-            const Part part = m_part;
+            const BodyCallback part = m_part;
             const std::string body = std::exchange(m_result.body, {});
             const HttpResult head = m_result;
             part(head, body);
         }
     }
     HttpResult takeResult() { return std::move(m_result); }
-    Done takeDone() { return std::move(m_done); }
+    DoneCallback takeDone() { return std::move(m_done); }
 
 private:
     static std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *user)
@@ -251,8 +251,8 @@
     curl_slist *m_headers = nullptr;
     std::string m_body;
     HttpResult m_result;
-    Done m_done;
-    Part m_part;
+    DoneCallback m_done;
+    BodyCallback m_part;
     std::vector<std::uint64_t> &m_withParts;
 };
 
@@ -286,7 +286,7 @@
     m_transfers.clear();
 }
 
-std::uint64_t HttpClient::send(const HttpCall &call, Done done, Part part)
+std::uint64_t HttpClient::send(const HttpCall &call, DoneCallback done, BodyCallback part)
 {
     const std::uint64_t id = m_nextId++;
     auto transfer =
--- a/lib/Adapters/httpserver.cpp
+++ b/lib/Adapters/httpserver.cpp
@@ -128,11 +128,12 @@
             m_chunks->done();
             return;
         }
-        m_chunks->flush([onBroken = std::move(reply.onBroken)](const std::error_code &error) {
-            if (error && onBroken) {
-                onBroken();
-            }
-        });
+        m_chunks->flush(
+            [onSendFailed = std::move(reply.onSendFailed)](const std::error_code &error) {
+                if (error && onSendFailed) {
+                    onSendFailed();
+                }
+            });
     }
 
 private:
@@ -242,7 +243,7 @@
             .connection_state_listener(std::make_shared<ClosedListener>(options.onClosed))
             .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
                                           .max_field_value_size(largestHeaderField)
-                                          .max_body_size(options.largestBody))
+                                          .max_body_size(options.maxBodyBytes))
             .socket_options_setter(
                 [](auto &socket) { socket.set_option(asio::ip::tcp::no_delay{true}); })
             .acceptor_post_bind_hook([raw](asio::ip::tcp::acceptor &acceptor) {
--- a/lib/Adapters/peerlink.cpp
+++ b/lib/Adapters/peerlink.cpp
@@ -95,7 +95,7 @@
     return {publicKey.data(), secretKey.data(), {}};
 }
 
-void PeerLink::secure(const PeerKeys &keys)
+void PeerLink::enableCurve(const PeerKeys &keys)
 {
     std::vector<std::string> accepted = keys.accepted;
     accepted.push_back(keys.publicKey);
@@ -111,9 +111,9 @@
     m_sockets->serverKey = publicKey;
 }
 
-std::uint64_t PeerLink::refused() const
+std::uint64_t PeerLink::refusedConnections() const
 {
-    return m_sockets->authenticator == nullptr ? 0 : m_sockets->authenticator->refused();
+    return m_sockets->authenticator == nullptr ? 0 : m_sockets->authenticator->refusedConnections();
 }
 
 absl::Status PeerLink::listen(const std::string &address)
@@ -191,7 +191,7 @@
     if (now < m_nextFlush) {
         return;
     }
-    std::erase_if(m_waiting, [this, now](const Waiting &message) {
+    std::erase_if(m_waiting, [this, now](const PendingMessage &message) {
         if (sendNow(message.address, message.bytes)) {
             return true;
         }
--- a/lib/Adapters/platformclient.cpp
+++ b/lib/Adapters/platformclient.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-PlatformOutcome outcomeOfStoreCall(const HttpResult &result)
+PlatformOutcome storeCallOutcome(const HttpResult &result)
 {
     switch (result.status) {
     case statusOk:
@@ -113,7 +113,7 @@
 {
     PlatformResult result;
     result.id = id;
-    result.outcome = outcomeOfStoreCall(http);
+    result.outcome = storeCallOutcome(http);
     if (result.outcome != PlatformOutcome::Ok && result.outcome != PlatformOutcome::Conflict) {
         return result;
     }
--- a/lib/Adapters/stageprotocol.cpp
+++ b/lib/Adapters/stageprotocol.cpp
@@ -88,7 +88,7 @@
     return event;
 }
 
-StageFailed cutAnswer(const SendStage &stage, std::string_view message)
+StageFailed truncatedAnswer(const SendStage &stage, std::string_view message)
 {
     StageFailed event = stageFailure(stage, SendEvidence::Sent, message);
     event.isBroken = true;
@@ -150,7 +150,7 @@
 {
 }
 
-std::vector<StageChunk> StageStream::take(const HttpResult &head, const std::string &body)
+std::vector<StageChunk> StageStream::handleBody(const HttpResult &head, const std::string &body)
 {
     std::vector<StageChunk> pieces;
     if (head.header("content-type").rfind(eventStreamType, 0) != 0) {
@@ -168,7 +168,7 @@
             m_fault = errorMessage(event.status());
             break;
         }
-        m_ended = event->last;
+        m_ended = event->isLast;
         if (event->text.empty()) {
             continue;
         }
@@ -195,7 +195,7 @@
         return stageFailure(m_stage, SendEvidence::Sent, m_fault);
     }
     if (!m_ended) {
-        return cutAnswer(m_stage, "the stream ended before its last event");
+        return truncatedAnswer(m_stage, "the stream ended before its last event");
     }
     return answered(m_stage, result, m_protocol.wholeAnswer(m_stage.textDelivered + m_text));
 }
--- a/lib/Daemon/control.cpp
+++ b/lib/Daemon/control.cpp
@@ -129,7 +129,7 @@
 absl::Status Control::start()
 {
     if (m_settings.peerKeys) {
-        m_peers.secure(*m_settings.peerKeys);
+        m_peers.enableCurve(*m_settings.peerKeys);
     }
     absl::Status listening = m_peers.listen(m_settings.peerAddress);
     if (!listening.ok()) {
@@ -331,7 +331,7 @@
     HttpCall call;
     call.url = fmt::format("http://{}", probe.address);
     call.timeout = probeTimeout;
-    call.onlyConnects = true;
+    call.connectOnly = true;
     m_loop.http().send(call, [this, probe](const HttpResult &result) {
         ProbeOutcome outcome = ProbeOutcome::Unknown;
         if (result.connection != HttpConnection::Unknown) {
@@ -761,7 +761,7 @@
         counter("harelink_peer_bytes_sent_total", m_peers.counters().sentBytes);
         counter("harelink_peer_messages_dropped_total", m_peers.counters().dropped);
         counter("harelink_peer_messages_unreadable_total", m_peers.counters().unreadable);
-        counter("harelink_peer_connections_refused_total", m_peers.refused());
+        counter("harelink_peer_connections_refused_total", m_peers.refusedConnections());
         counter("harelink_quarantines_total", m_quarantines);
         counter("harelink_cold_checks_total", m_coldChecks);
         counter("harelink_endpoint_limit_changes_total", m_notices.limitChanges);
--- a/lib/Daemon/daemon.cpp
+++ b/lib/Daemon/daemon.cpp
@@ -215,7 +215,7 @@
     options.address = m_settings.callerAddress;
     options.threads = m_settings.listenerThreads;
     options.idleLimit = m_settings.idleLimit;
-    options.largestBody = maxCallerBodyBytes;
+    options.maxBodyBytes = maxCallerBodyBytes;
     options.onClosed = [this](std::uint64_t connection) {
         for (const auto &worker : m_workers) {
             worker->handleConnectionClosed(connection);
--- a/lib/Daemon/worker.cpp
+++ b/lib/Daemon/worker.cpp
@@ -265,7 +265,7 @@
         dispatchResult(stream->finish(std::move(result)));
     };
     const auto onPart = [this, stream](const HttpResult &head, const std::string &body) {
-        for (StageEvent &event : stream->take(head, body)) {
+        for (StageEvent &event : stream->handleBody(head, body)) {
             dispatch(std::move(event));
         }
     };
@@ -280,7 +280,7 @@
         dispatchResult(stream->finish(result));
     };
     const auto onPart = [this, stream](const HttpResult &head, const std::string &body) {
-        for (StageChunk &chunk : stream->take(head, body)) {
+        for (StageChunk &chunk : stream->handleBody(head, body)) {
             dispatch(std::move(chunk));
         }
     };
@@ -374,7 +374,7 @@
     }
     part.body = action.bytes;
     part.more = true;
-    part.onBroken = [this, id = action.id] {
+    part.onSendFailed = [this, id = action.id] {
         m_loop.post([this, id] { dispatch(CallerGone{id}); });
     };
     caller.responder(std::move(part));
@@ -437,7 +437,7 @@
     Caller &caller = found->second;
     HttpReply part = caller.streamStarted ? makeStreamChunk(action) : makeFirstStreamChunk(action);
     caller.streamStarted = true;
-    part.onBroken = [this, id = action.id] {
+    part.onSendFailed = [this, id = action.id] {
         m_loop.post([this, id] { dispatch(CallerGone{id}); });
     };
     caller.responder(std::move(part));
--- a/lib/Plugins/stageprotocols.cpp
+++ b/lib/Plugins/stageprotocols.cpp
@@ -64,7 +64,7 @@
     {
         StreamEvent event;
         if (data == "[DONE]") {
-            event.last = true;
+            event.isLast = true;
             return event;
         }
         const nlohmann::json answer = nlohmann::json::parse(data, nullptr, false);
--- a/unittests/Adapters/httpclienttest.cpp
+++ b/unittests/Adapters/httpclienttest.cpp
@@ -159,9 +159,9 @@
     HttpCall call;
     call.url = server.url();
     call.timeout = std::chrono::seconds(5);
-    call.onlyConnects = true;
+    call.connectOnly = true;
     const HttpResult result = callOn(client, call);
-    CHECK(result.connection == HttpConnection::Made);
+    CHECK(result.connection == HttpConnection::Established);
     CHECK_FALSE(result.sent);
     CHECK_EQUAL(0, server.seen());
 }
--- a/unittests/Adapters/peerlinktest.cpp
+++ b/unittests/Adapters/peerlinktest.cpp
@@ -23,10 +23,10 @@
     Pair(const std::optional<PeerKeys> &receiverKeys, const std::optional<PeerKeys> &senderKeys)
     {
         if (receiverKeys) {
-            receiver.secure(*receiverKeys);
+            receiver.enableCurve(*receiverKeys);
         }
         if (senderKeys) {
-            sender.secure(*senderKeys);
+            sender.enableCurve(*senderKeys);
         }
         CHECK(receiver.listen("127.0.0.1:0").ok());
     }
@@ -68,7 +68,7 @@
     const auto &heartbeat = std::get<Heartbeat>(message->content);
     STRCMP_EQUAL("h1", message->host.c_str());
     CHECK_EQUAL(3, heartbeat.usage.at(0).demand);
-    CHECK_EQUAL(0u, pair.receiver.refused());
+    CHECK_EQUAL(0u, pair.receiver.refusedConnections());
 }
 
 TEST(PeerLink, APeerWithoutAKnownKeyIsRefusedAndCounted)
@@ -79,13 +79,13 @@
     Pair pair(keys, keys);
     PeerLink intruder;
     const std::string address = fmt::format("127.0.0.1:{}", pair.receiver.port());
-    intruder.secure(stranger);
+    intruder.enableCurve(stranger);
     intruder.trustServer(keys.publicKey);
-    for (int turn = 0; turn < mostTurns && pair.receiver.refused() == 0; ++turn) {
+    for (int turn = 0; turn < mostTurns && pair.receiver.refusedConnections() == 0; ++turn) {
         intruder.send({"h2", address, {"intruder", 8, Heartbeat{}}}, {});
         std::this_thread::sleep_for(milliseconds(10));
     }
-    CHECK(pair.receiver.refused() > 0);
+    CHECK(pair.receiver.refusedConnections() > 0);
     CHECK(!pair.receiver.receive().has_value());
     // The control: the fleet's own still get through.
     CHECK(pair.sendUntilReceived()->host == "h1");
--- a/unittests/Adapters/stagestreamtest.cpp
+++ b/unittests/Adapters/stagestreamtest.cpp
@@ -74,11 +74,11 @@
 TEST(StageStream, TokensAreCountedOnFromThoseBefore)
 {
     StageStream stream(*protocol, stage);
-    const auto first = stream.take(head, event(" c") + event(" d").substr(0, 5));
+    const auto first = stream.handleBody(head, event(" c") + event(" d").substr(0, 5));
     CHECK_EQUAL(1u, first.size());
     CHECK_EQUAL(2u, first[0].firstToken);
     CHECK(first[0].echoed == stage.call);
-    const auto second = stream.take(head, event(" d").substr(5) + "data: [DONE]\n\n");
+    const auto second = stream.handleBody(head, event(" d").substr(5) + "data: [DONE]\n\n");
     CHECK_EQUAL(1u, second.size());
     CHECK_EQUAL(3u, second[0].firstToken);
     const auto end = stream.finish(head);
@@ -88,7 +88,7 @@
 TEST(StageStream, AStreamWithoutItsLastEventIsNotWhole)
 {
     StageStream stream(*protocol, stage);
-    (void)stream.take(head, event(" c"));
+    (void)stream.handleBody(head, event(" c"));
     const auto end = stream.finish(head);
     CHECK(std::get<StageFailed>(end).evidence == SendEvidence::Sent);
 }
@@ -99,7 +99,7 @@
     StageStream stream(*protocol, stage);
     head.status = 429;
     head.headers["content-type"] = "application/json";
-    CHECK_EQUAL(0u, stream.take(head, "{}").size());
+    CHECK_EQUAL(0u, stream.handleBody(head, "{}").size());
     const auto end = stream.finish(head);
     CHECK(std::get<StageFailed>(end).evidence == SendEvidence::RefusedBeforeRun);
 }
@@ -107,6 +107,6 @@
 TEST(StageStream, AnEventThatCannotBeReadEndsTheStream)
 {
     StageStream stream(*protocol, stage);
-    CHECK_EQUAL(0u, stream.take(head, "data: oops\n\n" + event(" c")).size());
+    CHECK_EQUAL(0u, stream.handleBody(head, "data: oops\n\n" + event(" c")).size());
     CHECK(std::holds_alternative<StageFailed>(stream.finish(head)));
 }
--- a/unittests/Platform/requeststest.cpp
+++ b/unittests/Platform/requeststest.cpp
@@ -227,8 +227,8 @@
                                    {"X-Server-Seal", "s"},
                                    {"Content-Type", "text/event-stream"},
                                    {"Transfer-Encoding", "chunked"}});
-    LONGS_EQUAL(0, stream.take(head, "id: 1\ndata: a").size());
-    const std::vector<StageEvent> events = stream.take(head, "\n\nid: 2\ndata: b\n\nid: 3");
+    LONGS_EQUAL(0, stream.handleBody(head, "id: 1\ndata: a").size());
+    const std::vector<StageEvent> events = stream.handleBody(head, "\n\nid: 2\ndata: b\n\nid: 3");
     LONGS_EQUAL(2, events.size());
     STRCMP_EQUAL("id: 1\ndata: a\n\n", events[0].bytes.c_str());
     LONGS_EQUAL(2, events[1].eventId.value());
@@ -243,7 +243,7 @@
     const HttpResult head = result(
         200,
         {{"X-Request-Id", "r-1"}, {"X-Server-Seal", "s"}, {"Content-Type", "text/event-stream"}});
-    LONGS_EQUAL(1, stream.take(head, "id: 1\ndata: a\n\n").size());
+    LONGS_EQUAL(1, stream.handleBody(head, "id: 1\ndata: a\n\n").size());
     CHECK(std::holds_alternative<StageFailed>(stream.finish(head)));
 }
 
--- a/utils/standin/platform.cpp
+++ b/utils/standin/platform.cpp
@@ -326,7 +326,7 @@
     HttpServerOptions options;
     options.address = FLAGS_address;
     options.threads = 2;
-    options.largestBody = 3'000'000;
+    options.maxBodyBytes = 3'000'000;
     return serve(
         options,
         [&](const HttpRequest &request, const Responder &to) { platform.handle(request, to); },
