--- a/include/harelink/Config/resources.h
+++ b/include/harelink/Config/resources.h
@@ -67,8 +67,8 @@
     bool isPublic = false;  ///< No API key is required.
     std::uint32_t maxEndpoints = 1; ///< Max. endpoints that one request may be sent to.
     int priority = 0;               ///< 0 is the highest priority.
-    std::chrono::milliseconds objective{
-        1000}; ///< Target for the time to the answer or its first event.
+    /// Target for the time to the answer or its first event.
+    std::chrono::milliseconds objective{1000};
     std::chrono::milliseconds maxEventInterval{0}; ///< Target between two events; 0 for none.
     /// Period without any data after which a caller disconnects; 0 if callers wait until the
     /// deadline.
@@ -84,7 +84,7 @@
     std::vector<StageSpec> stages;            ///< From 1 to maxStages; none if there is a route.
     bool repeatable = true;                   ///< If false, runs at most once per idempotency key.
     std::chrono::milliseconds deadline{4000}; ///< Default if the caller specifies none.
-    std::size_t maxBodyBytes = 65536;         ///< Size limit of a caller's body.
+    std::size_t maxBodyBytes = 65536;         ///< Size limit of a request body.
     /// If set, requests are proxied unchanged; stages is empty until a pool is selected from
     /// the split.
     std::optional<RouteSpec> route;
@@ -125,8 +125,8 @@
 /// Capacity of each model engine of a pool.
 struct ModelEngineSpec
 {
-    std::uint64_t cacheTokens =
-        0; ///< KV cache size, shared by running requests and cached prompts.
+    /// Size of the cache in tokens, shared by running requests and cached prompts.
+    std::uint64_t cacheTokens = 0;
 };
 
 /// A pool of interchangeable endpoints.
--- a/include/harelink/Config/settings.h
+++ b/include/harelink/Config/settings.h
@@ -52,8 +52,8 @@
     std::optional<PeerKeys> peerKeys; ///< std::nullopt if the network is trusted.
     std::string routingPolicy;        ///< Name of the routing plug-in.
     std::string dialect = "harelink"; ///< Name of the plug-in for the platform's protocol.
-    std::string readyPath =
-        "/readyz";               ///< Readiness path for the load balancer, on operatorAddress.
+    /// Path of the readiness check for the load balancer, on operatorAddress.
+    std::string readyPath = "/readyz";
     int watchers = 2;            ///< Number of daemons per data centre that watch the platform.
     double retryRatio = 0.1;     ///< Retries of proxied requests allowed per request.
     double retryAllowance = 200; ///< Additional retries per retryWindow, for all daemons together.
@@ -62,8 +62,8 @@
     int workers = 2;                               ///< Number of worker threads.
     int listenerThreads = 2;          ///< Number of threads that read callers' connections.
     std::size_t maxRequests = 10'000; ///< Max. requests in progress per worker; more are refused.
-    std::chrono::milliseconds platformTimeout{
-        1000}; ///< After it a platform call counts as unanswered.
+    /// Period after which a platform call counts as unanswered.
+    std::chrono::milliseconds platformTimeout{1000};
     std::chrono::milliseconds drainLimit{10'000}; ///< Max. duration of a planned shutdown.
     /// Period for which requests that crashed endpoints are not run, unless an operator lifts
     /// the quarantine.
