--- a/test/sim/checks.cpp
+++ b/test/sim/checks.cpp
@@ -1,4 +1,4 @@
-//===- checks.cpp - What must always hold ---------------------------------===//
+//===- checks.cpp - Invariant checks of the simulation --------------------===//
 
 #include "checks.h"
 
@@ -11,32 +11,37 @@
 namespace harelink::sim {
 namespace {
 
-/// How long after it began to leave an endpoint may still get new work.
+/// Period in which an endpoint that is leaving may still receive new work.
 constexpr std::chrono::seconds leavingGracePeriod{5};
-/// The same after its data centre was drained.
+/// Period in which an endpoint may still receive new work after its data centre was drained.
 constexpr std::chrono::seconds drainGracePeriod{5};
-/// What cold endpoints get in a second: so many times what they bear, and so much more.
+/// Bound on the requests that a cold endpoint may receive within a second:
+/// coldRate * coldRateFactor + coldSlack.
 constexpr double coldRateFactor = 1.5;
 constexpr double coldSlack = 5;
-/// What an endpoint that states a limit gets in a window: so many times what the limit
-/// allows, and so much more, from daemons that were told so long before.
+/// Bound on the requests that an endpoint with a rate limit may receive in limitWindow:
+/// the allowed number * limitRateFactor + limitSlack. Only daemons that received the limit
+/// at least limitPropagationTime ago count.
 constexpr double limitRateFactor = 1.5;
 constexpr double limitSlack = 5;
 constexpr std::chrono::seconds limitWindow{4};
 constexpr std::chrono::milliseconds limitPropagationTime{500};
-/// Requests that an endpoint may get within a pause, after the time to take it in.
+/// Requests that an endpoint may receive from a daemon within a requested pause, after
+/// pausePropagationTime.
 constexpr int maxArrivalsInPause = 2;
 constexpr std::chrono::milliseconds pausePropagationTime{500};
-/// How long after it took in that an endpoint is leaving a daemon may still send there.
+/// Period in which a daemon may still send to an endpoint after it received that the
+/// endpoint is leaving.
 constexpr std::chrono::seconds departurePropagationTime{3};
-/// An endpoint may get so much more time than the caller has.
+/// A stage's timeout may exceed the caller's remaining time by this much.
 constexpr std::chrono::milliseconds timeoutTolerance{500};
-/// A request under which so many endpoints have ended is known to end them ...
+/// Number of endpoint crashes after which a request counts as crashing ...
 constexpr int crashThreshold = 3;
-/// ... by all that are in touch, after stabilizationTime, but for so many sends.
+/// ... and the number of sends by stable hosts that are tolerated from stabilizationTime
+/// after that on.
 constexpr int maxSendsAfterThreshold = 3;
 
-/// The one right answer to a request.
+/// Returns the only correct answer to a request.
 std::string expectedAnswer(const Submission &submission)
 {
     if (submission.pipeline == "record") {
@@ -111,15 +116,15 @@
     }
 }
 
-void Checks::streamed(const StreamChunk &piece)
+void Checks::streamed(const StreamChunk &chunk)
 {
-    Submission &submission = m_submissions.at(piece.id);
+    Submission &submission = m_submissions.at(chunk.id);
     if (submission.answered) {
-        violation(fmt::format("request {} got a part after its end", toText(piece.id)));
+        violation(fmt::format("request {} got a part after its end", toText(chunk.id)));
     }
-    submission.streamed += piece.text;
+    submission.streamed += chunk.text;
     if (expectedAnswer(submission).rfind(submission.streamed, 0) != 0) {
-        violation(fmt::format("request {} was streamed {} for {}", toText(piece.id),
+        violation(fmt::format("request {} was streamed {} for {}", toText(chunk.id),
                               submission.streamed, expectedAnswer(submission)));
     }
 }
@@ -191,10 +196,10 @@
 {
     LimitRecord &record = m_limits[stage.endpoint];
     const TimePoint now = m_queue.now();
-    const auto told = record.reportedAt.find(stage.call.request.incarnation);
-    const bool knows =
-        told != record.reportedAt.end() && now - told->second >= limitPropagationTime;
-    if (excused || !knows || now - endpoint.limitedSince < stabilizationTime) {
+    const auto reported = record.reportedAt.find(stage.call.request.incarnation);
+    const bool hasLimit =
+        reported != record.reportedAt.end() && now - reported->second >= limitPropagationTime;
+    if (excused || !hasLimit || now - endpoint.limitedSince < stabilizationTime) {
         return;
     }
     record.arrivals.push_back(now);
@@ -273,9 +278,9 @@
 void Checks::crashingArrived(const std::string &body, bool fromStableHost)
 {
     CrashRecord &record = m_crashes[body];
-    const bool isKnown = record.crashes >= crashThreshold
-                         && m_queue.now() - record.thresholdReachedAt > stabilizationTime;
-    if (!isKnown || !fromStableHost) {
+    const bool isKnownToCrash = record.crashes >= crashThreshold
+                                && m_queue.now() - record.thresholdReachedAt > stabilizationTime;
+    if (!isKnownToCrash || !fromStableHost) {
         return;
     }
     ++record.sendsAfterThreshold;
@@ -337,23 +342,23 @@
 std::vector<Submission> Checks::neverRunKeys() const
 {
     std::map<std::string, Submission> byKey;
-    std::set<std::string> unsure;
+    std::set<std::string> uncertain;
     for (const auto &[id, submission] : m_submissions) {
-        // What ends endpoints is not run again, whatever its key.
+        // Requests that crash endpoints are not run again, whatever their key.
         if (submission.key.empty() || isCrashing(submission.body)) {
             continue;
         }
         byKey[submission.key] = submission;
-        // A daemon that dies may leave a claim behind that nobody can release, and
-        // a request refused by rule says nothing of its key.
+        // A daemon that dies may leave a claim behind that no other daemon can release, and
+        // a request that is refused for a reused key gives no information on that key.
         if (submission.daemonDied || submission.outcome != Outcome::NotRun
             || submission.reason == Reason::KeyReused) {
-            unsure.insert(submission.key);
+            uncertain.insert(submission.key);
         }
     }
     std::vector<Submission> keys;
     for (const auto &[key, submission] : byKey) {
-        if (!unsure.contains(key) && !m_ledger.runsByKey.contains(key)) {
+        if (!uncertain.contains(key) && !m_ledger.runsByKey.contains(key)) {
             keys.push_back(submission);
         }
     }
--- a/test/sim/checks.h
+++ b/test/sim/checks.h
@@ -1,7 +1,8 @@
-//===- checks.h - What must always hold -------------------------*- C++ -*-===//
+//===- checks.h - Invariant checks of the simulation ------------*- C++ -*-===//
 ///
 /// \file
-/// Judges every answer and every run as they happen, and the whole at the end.
+/// Checks the invariants on each answer and each run as they happen, and on the
+/// whole simulation at its end.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,11 +18,11 @@
 
 namespace harelink::sim {
 
-/// A host to which nothing has happened for so long is in touch: it has to know what the
-/// others knew that long ago.
+/// A host that was not disturbed for this period is stable: it must have received all
+/// updates that other hosts had at the start of the period.
 inline constexpr std::chrono::milliseconds stabilizationTime{3000};
 
-/// A request as its caller remembers it.
+/// A request and its answer from the caller's view.
 struct Submission
 {
     RequestId id;
@@ -30,17 +31,17 @@
     std::string body;
     std::string key; ///< Empty for repeatable pipelines.
     bool streams = false;
-    std::string streamed; ///< What came in parts.
-    TimePoint deadline;   ///< Its caller's; not set before a daemon has taken it in.
+    std::string streamed; ///< The concatenated chunks.
+    TimePoint deadline;   ///< The caller's deadline; not set before a daemon has admitted it.
     bool answered = false;
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
-    bool isAbandoned = false; ///< Its daemon was killed: nobody will answer.
-    bool daemonDied = false;  ///< Killed before or after the answer.
-    bool drainBegan = false;  ///< It was in progress when a planned stop began.
+    bool isAbandoned = false; ///< Its daemon was killed, so no answer will come.
+    bool daemonDied = false;  ///< The daemon was killed, before or after the answer.
+    bool drainBegan = false;  ///< The request was in progress when a planned stop began.
 };
 
-/// The invariants.
+/// Records the events of a simulation and reports violated invariants.
 class Checks
 {
 public:
@@ -50,79 +51,81 @@
     {
     }
 
-    /// The events that are judged.
+    /// Events of the simulation. Each may report a violation.
     void submitted(const Submission &submission);
-    /// A host's daemon has taken the request in; its caller waits \p allowed from now on.
+    /// A daemon has admitted the request; its caller waits for \p allowed from now on.
     void admitted(const RequestId &id, Duration allowed);
     void answered(const AnswerCaller &answer);
     void sent(const SendStage &stage);
-    void streamed(const StreamChunk &piece);
-    /// \p recentlyResumed: from a host that was suspended until a moment ago.
+    void streamed(const StreamChunk &chunk);
+    /// A call arrived at an endpoint. \p recentlyResumed: the sending host was suspended
+    /// until recently.
     void arrivedAtEndpoint(const std::string &endpointName, const FakeEndpoint &endpoint,
                            const SendStage &stage, bool recentlyResumed);
-    /// An operator has drained a data centre, or taken it back.
+    /// An operator has drained a data centre, or ended the drain.
     void dataCentreDrained(const std::string &dataCentre, bool isDrained);
-    /// A call arrived at \p endpoint; \p fromStableHost: from a host that has to know what others
-    /// do.
+    /// A call arrived at \p endpoint; \p fromStableHost: the sending host must have
+    /// received all updates older than stabilizationTime.
     void arrivedAtDataCentre(const FakeEndpoint &endpoint, const SendStage &stage,
                              bool fromStableHost);
-    /// An endpoint states another limit, or none.
+    /// An endpoint announces another limit, or none.
     void limitChanged(const std::string &endpoint) { m_limits.erase(endpoint); }
-    /// A host's daemon has taken in an answer that states a limit.
+    /// A daemon has received an answer that announces a limit.
     void limitReported(const std::string &endpoint, Incarnation daemon);
-    /// A call arrived at \p endpoint, which states a limit; \p excused: from a host that
-    /// stood still a moment ago.
+    /// A call arrived at \p endpoint, which announces a limit; \p excused: the sending
+    /// host was frozen recently.
     void arrivedAtLimited(const FakeEndpoint &endpoint, const SendStage &stage, bool excused);
-    /// An endpoint has refused \p stage and asked its host for a pause.
+    /// An endpoint has refused \p stage and asked the sending daemon for a pause.
     void pauseRequested(const SendStage &stage, Duration pause);
-    /// A host's daemon has taken in an answer of an endpoint that is leaving.
+    /// A daemon has received an answer that announces that the endpoint is leaving.
     void departureReported(const std::string &endpoint, Incarnation daemon);
-    /// A call arrived; \p excused: from a host that stood still a moment ago.
+    /// A call arrived; checks it against requested pauses and announced departures.
+    /// \p excused: the sending host was frozen recently.
     void arrivedAtPausing(const SendStage &stage, bool excused);
     void ranAtEndpoint(const SendStage &stage);
-    /// An endpoint ended under a request with \p body.
+    /// An endpoint crashed while it ran a request with \p body.
     void crashed(const std::string &body);
-    /// A request that ends endpoints reached one; \p fromStableHost: from a host that had to know.
+    /// A request that crashes endpoints reached one; \p fromStableHost as above.
     void crashingArrived(const std::string &body, bool fromStableHost);
     void hostKilled(const std::string &host, Incarnation incarnation);
     void hostDraining(const std::string &host);
     void versionInForce(const std::string &host, const std::string &object, Version version);
     void hostRestarted(const std::string &host);
-    /// At the end, when all faults are healed and time was given.
+    /// Final checks, after all faults were healed and the system had time to settle.
     void finish();
 
     void violation(const std::string &line);
     [[nodiscard]] const std::vector<std::string> &violations() const { return m_violations; }
     [[nodiscard]] std::map<RequestId, Submission> &submissions() { return m_submissions; }
     [[nodiscard]] const EndpointLedger &ledger() const { return m_ledger; }
-    /// How many endpoints ended under requests with \p body.
+    /// Returns the number of endpoint crashes caused by requests with \p body.
     [[nodiscard]] int crashCount(const std::string &body) const;
-    /// Counts of answers by outcome.
+    /// Returns the number of answers by outcome.
     [[nodiscard]] const std::map<std::string, int> &outcomes() const { return m_outcomes; }
-    /// Keys that never ran and whose every caller was told "not run", but for those of
-    /// requests that end endpoints.
+    /// Returns the requests of keys that never ran and whose callers all received
+    /// "not run", without requests that crash endpoints.
     [[nodiscard]] std::vector<Submission> neverRunKeys() const;
 
 private:
-    /// What a request that ends endpoints has done.
+    /// Crashes caused by one request.
     struct CrashRecord
     {
         int crashes = 0;
         TimePoint thresholdReachedAt;
-        int sendsAfterThreshold = 0; ///< By hosts that had to know, later than the contact time.
+        int sendsAfterThreshold = 0; ///< By stable hosts, later than stabilizationTime.
     };
 
-    /// What has happened at an endpoint since it stated its limit.
+    /// Calls to an endpoint since it announced its limit.
     struct LimitRecord
     {
-        std::map<Incarnation, TimePoint> reportedAt; ///< By daemon.
-        std::deque<TimePoint> arrivals;              ///< From daemons that had been told.
+        std::map<Incarnation, TimePoint> reportedAt; ///< When each daemon received the limit.
+        std::deque<TimePoint> arrivals;              ///< From daemons that had received the limit.
     };
 
     /// A pause that an endpoint asked a daemon for.
     struct Pause
     {
-        TimePoint begin; ///< After the time that the daemon has to take it in.
+        TimePoint begin; ///< After the time allowed for the daemon to receive it.
         TimePoint end;
         int arrivals = 0;
     };
@@ -133,10 +136,11 @@
 
     EventQueue &m_queue;
     Trace &m_trace;
-    std::map<std::string, CrashRecord> m_crashes;                ///< By body.
-    std::map<std::string, TimePoint> m_drainedSince;             ///< By data centre.
-    std::map<std::string, std::deque<TimePoint>> m_coldArrivals; ///< Of a second, by endpoint.
-    std::map<std::string, LimitRecord> m_limits;                 ///< By endpoint.
+    std::map<std::string, CrashRecord> m_crashes;    ///< By body.
+    std::map<std::string, TimePoint> m_drainedSince; ///< By data centre.
+    std::map<std::string, std::deque<TimePoint>>
+        m_coldArrivals;                          ///< Of the last second, by endpoint.
+    std::map<std::string, LimitRecord> m_limits; ///< By endpoint.
     std::map<EndpointDaemon, std::vector<Pause>> m_pauses;
     std::map<EndpointDaemon, TimePoint> m_departureReportedAt;
     EndpointLedger m_ledger;
--- a/test/sim/fakes.cpp
+++ b/test/sim/fakes.cpp
@@ -1,4 +1,4 @@
-//===- fakes.cpp - The world around the kernel, on a virtual clock --------===//
+//===- fakes.cpp - Test doubles on a virtual clock ------------------------===//
 
 #include "fakes.h"
 
@@ -13,9 +13,9 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// A daemon takes a call for silent after this time.
+/// A daemon treats a call as unanswered after this time.
 constexpr milliseconds clientTimeout{300};
-/// A late write arrives within this time.
+/// A delayed write takes effect within this time.
 constexpr std::uint64_t maxWriteDelayMs = 900;
 constexpr milliseconds watchPoll{20};
 
@@ -99,7 +99,7 @@
         replyUnanswered();
         return;
     }
-    // The write takes effect half way, the answer arrives after as long again.
+    // The write takes effect after one latency, the answer arrives after another one.
     m_queue.after(latency, [=, this] {
         const PlatformResult result = execute(call);
         m_queue.after(latency, [=] { reply(result); });
--- a/test/sim/fakes.h
+++ b/test/sim/fakes.h
@@ -1,8 +1,8 @@
-//===- fakes.h - The world around the kernel, on a virtual clock *- C++ -*-===//
+//===- fakes.h - Test doubles on a virtual clock ----------------*- C++ -*-===//
 ///
 /// \file
-/// Small fakes at the kernel's interfaces: an event queue, the platform, the
-/// endpoints and the network between them, with switches for what fails.
+/// Fakes for the kernel's dependencies: an event queue, the platform, the
+/// endpoints and the network between them, with fault injection.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,8 @@
 
 namespace harelink::sim {
 
-/// Runs events in the order of their time, and of their making among equals.
+/// Runs events in the order of their time; events of the same time run in the order
+/// in which they were scheduled.
 class EventQueue
 {
 public:
@@ -33,11 +34,11 @@
 
     [[nodiscard]] const ManualClock &clock() const { return m_clock; }
     [[nodiscard]] TimePoint now() const { return m_clock.now(); }
-    /// Time since the start.
+    /// Returns the time since the start of the simulation.
     [[nodiscard]] Duration elapsed() const { return now() - m_start; }
-    /// Runs \p event after \p delay.
+    /// Schedules \p event to run after \p delay.
     void after(Duration delay, Event event);
-    /// Runs events until \p end; gives how many ran.
+    /// Runs all events that are due until \p end; returns the number of events run.
     std::uint64_t runUntil(TimePoint end);
 
 private:
@@ -58,11 +59,11 @@
     std::priority_queue<Entry, std::vector<Entry>, std::greater<>> m_entries;
 };
 
-/// The clock of one host, which may stand still while all others go on.
+/// The clock of one host; it can be suspended while the clocks of other hosts advance.
 class HostClock final : public Clock
 {
 public:
-    /// \param world outlives the clock.
+    /// \param world must outlive this clock.
     explicit HostClock(const Clock &world)
         : m_world(world)
     {
@@ -73,11 +74,11 @@
 
 private:
     const Clock &m_world;
-    Duration m_suspendedTotal{};               ///< That it has stood still.
-    std::optional<TimePoint> m_suspendedSince; ///< Of the world's time.
+    Duration m_suspendedTotal{};               ///< Total time for which the clock was suspended.
+    std::optional<TimePoint> m_suspendedSince; ///< In the time of the simulation.
 };
 
-/// What happened, as text. Keeps the last lines and a hash over all.
+/// Event log as text. Keeps the most recent lines, and a hash of all lines.
 class Trace
 {
 public:
@@ -87,7 +88,7 @@
     }
     void add(const std::string &line);
     [[nodiscard]] std::uint64_t hash() const { return m_hash; }
-    /// How many lines are kept from now on.
+    /// Sets the number of lines that are kept.
     void setMaxLines(std::size_t lines) { m_maxLines = lines; }
     [[nodiscard]] const std::deque<std::string> &last() const { return m_last; }
 
@@ -98,7 +99,7 @@
     std::deque<std::string> m_last;
 };
 
-/// Which places cannot reach each other. A place is a data centre or "platform".
+/// The current network partitions. Each side is a data centre or "platform".
 class Cuts
 {
 public:
@@ -114,7 +115,7 @@
     std::set<std::pair<std::string, std::string>> m_cuts;
 };
 
-/// The platform's object API with its faults.
+/// In-memory platform object API with fault injection.
 class FakePlatform
 {
 public:
@@ -122,8 +123,8 @@
     {
         bool outage = false;
         Duration slow{};
-        double loseAnswers = 0; ///< The call is carried out, the answer is lost.
-        double applyLate = 0;   ///< The answer is lost and the write arrives later.
+        double loseAnswers = 0; ///< Probability that a call is executed, but its answer is lost.
+        double applyLate = 0;   ///< Probability that the answer is lost and the write is delayed.
     };
     using Reply = std::function<void(PlatformResult)>;
 
@@ -133,12 +134,13 @@
     {
     }
 
-    /// Carries \p call out; \p reply comes once, Unanswered after the client's patience.
+    /// Executes \p call. Calls \p reply exactly once, with Unanswered after the client's
+    /// timeout.
     void handle(const PlatformCall &call, const Reply &reply);
-    /// The objects, for tests that write as operators do.
+    /// Returns the object store, for tests that write objects as an operator would.
     [[nodiscard]] standin::PlatformStore &store() { return m_store; }
     [[nodiscard]] Faults &faults() { return m_faults; }
-    /// Sets what the host list says of a host.
+    /// Sets the entry of a host in the host list.
     void setHost(const std::string &name, const std::string &dataCentre, const std::string &state,
                  bool daemon);
     [[nodiscard]] std::uint64_t calls() const { return m_calls; }
@@ -158,39 +160,39 @@
     std::uint64_t m_writes = 0;
 };
 
-/// What the endpoints of the world saw.
+/// Calls recorded at the simulated endpoints.
 struct EndpointLedger
 {
-    std::map<std::string, int> runsByKey;    ///< Of calls that carried a key.
-    std::map<RequestId, int> callsByRequest; ///< Calls whose bytes arrived.
+    std::map<std::string, int> runsByKey;    ///< Runs per idempotency key.
+    std::map<RequestId, int> callsByRequest; ///< Calls that reached an endpoint.
 };
 
-/// An endpoint.
+/// State of a simulated endpoint.
 struct FakeEndpoint
 {
     std::string dataCentre;
     bool down = false;
     double slowFactor = 1;
     double failing = 0;           ///< Share of calls that break after they ran.
-    std::uint64_t generation = 0; ///< Rises when it dies: running calls end.
+    std::uint64_t generation = 0; ///< Incremented on each crash; running calls of older ones end.
     TimePoint leavingSince = TimePoint::max();
     TimePoint lastArrival;
-    TimePoint coldUntil; ///< It bears few requests until then.
-    /// Requests per second that it accepts from all hosts; its answers say so.
+    TimePoint coldUntil; ///< Until then it accepts only coldRate requests per second.
+    /// Requests per second that it accepts from all hosts, as announced in its answers.
     std::optional<double> limit;
-    /// It refuses most requests and asks for so long a pause; zero where it does not.
+    /// If not zero, it refuses most requests and asks for a pause of this duration.
     Duration pause{};
-    bool announcesLeaving = false; ///< In its answers; the platform does not say so.
-    TimePoint limitedSince;        ///< When it began to state this one.
+    bool announcesLeaving = false; ///< In its answers only, not in the platform's host list.
+    TimePoint limitedSince;        ///< When the current limit was first announced.
 };
 
-/// What a cold endpoint of the world bears in a second, and for how long it is cold.
+/// Requests per second that a cold endpoint accepts, and how long it stays cold.
 inline constexpr double coldRate = 1;
 inline constexpr std::chrono::milliseconds coldTime{3000};
 
-/// Whether a request with this body ends every endpoint that begins to run it.
+/// Returns whether a request with \p body crashes every endpoint that starts to run it.
 [[nodiscard]] bool isCrashing(const std::string &body);
-/// The answer that an endpoint of the world gives to \p stage.
+/// Returns the answer of a simulated endpoint to \p stage.
 [[nodiscard]] std::string answerTo(const SendStage &stage);
 
 } // namespace harelink::sim
--- a/test/sim/loadendpoint.cpp
+++ b/test/sim/loadendpoint.cpp
@@ -7,9 +7,9 @@
 namespace harelink::sim {
 namespace {
 
-/// A call takes from this share of the mean time to as much above it.
+/// Call times are uniform between this fraction of the mean and 2 minus it.
 constexpr double minTimeFactor = 0.6;
-/// The share of a call's time that a kept prompt saves.
+/// Fraction of a call's time that a cached prompt saves.
 constexpr double promptHitSaving = 0.6;
 
 } // namespace
@@ -37,7 +37,7 @@
         Job &job = m_running.back();
         job.startedAt = m_queue.now();
         job.run = ++m_runs;
-        m_queue.after(timeOf(job.prompt), [this, run = job.run] { finish(run); });
+        m_queue.after(callDuration(job.prompt), [this, run = job.run] { finish(run); });
     }
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-Duration LoadEndpoint::timeOf(const std::string &prompt)
+Duration LoadEndpoint::callDuration(const std::string &prompt)
 {
     const bool hit = m_pool.cachedPrompts > 0 && touchPrompt(prompt);
     m_promptHits += hit ? 1 : 0;
--- a/test/sim/loadendpoint.h
+++ b/test/sim/loadendpoint.h
@@ -1,9 +1,9 @@
 //===- loadendpoint.h - An endpoint with limited slots ----------*- C++ -*-===//
 ///
 /// \file
-/// An endpoint that works on a limited number of calls, queues as many more and
-/// refuses the rest before running them. It keeps the prompts used last, and
-/// can be slowed, broken and killed.
+/// A simulated endpoint that runs a limited number of calls at a time, queues as many
+/// more and refuses the rest before running them. It caches the most recently used
+/// prompts, and can be slowed down, made to fail and killed.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,31 +18,31 @@
 
 namespace harelink::sim {
 
-/// Endpoints of one kind.
+/// A pool of identical endpoints.
 struct LoadPool
 {
     std::string name;
     int endpoints = 1;
     int slots = 1;
     std::chrono::milliseconds callTime{10}; ///< Mean time of a call.
-    std::size_t cachedPrompts = 0;          ///< Size of the prompt cache of each.
+    std::size_t cachedPrompts = 0;          ///< Capacity of each endpoint's prompt cache.
 };
 
 /// How a call ended.
 struct LoadAnswer
 {
-    std::optional<SendEvidence> fault; ///< Nothing where it was answered.
+    std::optional<SendEvidence> fault; ///< std::nullopt if the call was answered.
     Duration busy{};                   ///< Time that an endpoint's slot was held.
-    int active = 0;                    ///< Calls there, waiting ones included.
+    int active = 0;                    ///< Calls at the endpoint, including queued ones.
 };
 
-/// One endpoint.
+/// A simulated endpoint of a pool.
 class LoadEndpoint
 {
 public:
     using Done = std::function<void(const LoadAnswer &)>;
 
-    /// The references outlive the endpoint.
+    /// \p queue and \p random must outlive the endpoint.
     LoadEndpoint(const LoadPool &pool, EventQueue &queue, Random &random)
         : m_pool(pool)
         , m_queue(queue)
@@ -50,17 +50,17 @@
     {
     }
 
-    /// Takes in a call; \p done comes once, unless the call is cancelled.
+    /// Runs, queues or refuses a call. Calls \p done exactly once, unless the call is cancelled.
     void admit(const SendStage &stage, Done done);
-    /// Ends a call; gives the time that it held a slot.
+    /// Cancels a call; returns the time for which it held a slot.
     Duration cancel(const CallId &call);
-    /// A daemon sent something here, at \p now.
+    /// Records that a daemon sent a call to this endpoint at \p now.
     void recordSend(TimePoint now) { m_lastSend = now; }
-    /// Ends all calls and refuses connections until it is started.
+    /// Fails all calls and refuses connections until start().
     void kill();
     void start() { m_down = false; }
     void setSlowFactor(double factor) { m_slowFactor = factor; }
-    /// The share of calls that fail after they ran.
+    /// Sets the fraction of calls that fail after they ran.
     void setFailing(double share) { m_failing = share; }
 
     [[nodiscard]] TimePoint lastSend() const { return m_lastSend; }
@@ -74,12 +74,12 @@
         std::string prompt;
         Done done;
         TimePoint startedAt;
-        std::uint64_t run = 0; ///< Tells its end from that of a cancelled run.
+        std::uint64_t run = 0; ///< Distinguishes its completion from that of a cancelled run.
     };
 
     void startNext();
     void finish(std::uint64_t run);
-    Duration timeOf(const std::string &prompt);
+    Duration callDuration(const std::string &prompt);
     bool touchPrompt(const std::string &prompt);
     [[nodiscard]] int active() const
     {
@@ -91,7 +91,7 @@
     Random &m_random;
     std::deque<Job> m_waiting;
     std::list<Job> m_running;
-    std::list<std::string> m_prompts; // Those used last come first.
+    std::list<std::string> m_prompts; // Most recently used first.
     bool m_down = false;
     double m_slowFactor = 1;
     double m_failing = 0;
--- a/test/sim/loadreport.cpp
+++ b/test/sim/loadreport.cpp
@@ -1,4 +1,4 @@
-//===- loadreport.cpp - What became of a load -----------------------------===//
+//===- loadreport.cpp - Results of a load simulation ----------------------===//
 
 #include "loadreport.h"
 
@@ -18,7 +18,7 @@
     return times[index];
 }
 
-double sumOf(const std::vector<double> &seconds, std::uint32_t stage)
+double secondsAt(const std::vector<double> &seconds, std::uint32_t stage)
 {
     return stage < seconds.size() ? seconds[stage] : 0;
 }
@@ -36,7 +36,7 @@
 void LoadReport::answered(const AnswerCaller &action)
 {
     Record &record = m_records.at(action.id);
-    assert(!record.answered && "a caller is answered exactly once");
+    assert(!record.answered && "a caller must be answered exactly once");
     record.answered = true;
     if (!record.counted) {
         return;
@@ -100,7 +100,7 @@
 {
     double sum = 0;
     for (const auto &[id, record] : m_records) {
-        sum += record.counted ? sumOf(record.secondsByStage, stage) : 0;
+        sum += record.counted ? secondsAt(record.secondsByStage, stage) : 0;
     }
     return sum;
 }
@@ -109,7 +109,7 @@
 {
     double sum = 0;
     for (const auto &[id, record] : m_records) {
-        sum += record.counted && !record.attained ? sumOf(record.secondsByStage, stage) : 0;
+        sum += record.counted && !record.attained ? secondsAt(record.secondsByStage, stage) : 0;
     }
     return sum;
 }
--- a/test/sim/loadreport.h
+++ b/test/sim/loadreport.h
@@ -1,7 +1,7 @@
-//===- loadreport.h - What became of a load ---------------------*- C++ -*-===//
+//===- loadreport.h - Results of a load simulation --------------*- C++ -*-===//
 ///
 /// \file
-/// Counts what requests came to, by account, and where endpoints' time went.
+/// Counts request outcomes by account, and the endpoint time used by stage.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,21 +16,21 @@
 
 namespace harelink::sim {
 
-/// What one account's requests came to.
+/// Outcomes of one account's requests.
 struct AccountResult
 {
     int sent = 0;
     int attained = 0;   ///< Completed within the deadline.
     int notRun = 0;     ///< Refused, and nothing ran.
-    int ran = 0;        ///< Incomplete or unknown: something ran for nothing.
-    double seconds = 0; ///< Of endpoints' time.
+    int ran = 0;        ///< Incomplete or unknown: endpoint time was used without an answer.
+    double seconds = 0; ///< Endpoint time used.
     [[nodiscard]] double attainment() const
     {
         return sent == 0 ? 1 : static_cast<double>(attained) / sent;
     }
 };
 
-/// Counts a load.
+/// Collects the results of a load simulation.
 class LoadReport
 {
 public:
@@ -41,10 +41,10 @@
 
     void submitted(const RequestArrived &event);
     void answered(const AnswerCaller &action);
-    /// An endpoint's slot was held for \p busy on a call.
+    /// Records that a call held an endpoint's slot for \p busy.
     void used(const CallId &call, Duration busy);
 
-    /// Forgets what was counted, not the requests in progress.
+    /// Resets all counts. Requests in progress are still tracked, but not counted.
     void restart();
 
     [[nodiscard]] const std::map<std::string, AccountResult> &accounts() const
@@ -52,12 +52,13 @@
         return m_accounts;
     }
     [[nodiscard]] AccountResult total() const;
-    /// Endpoints' seconds by stage index: all, and those of requests that did not attain.
+    /// Returns the endpoint time, in seconds, used for \p stage: of all requests, and of
+    /// requests that missed their objective.
     [[nodiscard]] double secondsOf(std::uint32_t stage) const;
     [[nodiscard]] double wastedOf(std::uint32_t stage) const;
-    /// The time from arrival to a "not run", at \p quantile.
+    /// Returns the \p quantile of the time from arrival to a "not run" answer.
     [[nodiscard]] Duration timeToRefuse(double quantile) const;
-    /// The time from arrival to a whole answer, at \p quantile.
+    /// Returns the \p quantile of the time from arrival to a completed answer.
     [[nodiscard]] Duration timeToComplete(double quantile) const;
 
 private:
@@ -78,7 +79,7 @@
     std::vector<Duration> m_completions;
 };
 
-/// Jain's index of \p shares: 1 where all are equal, 1/n where one has all.
+/// Returns Jain's fairness index of \p shares: 1 if all are equal, 1/n if one has all.
 [[nodiscard]] double jainIndex(const std::vector<double> &shares);
 
 } // namespace harelink::sim
--- a/test/sim/loadworld.h
+++ b/test/sim/loadworld.h
@@ -1,9 +1,9 @@
-//===- loadworld.h - Request machines under load ----------------*- C++ -*-===//
+//===- loadworld.h - Load simulation of request machines --------*- C++ -*-===//
 ///
 /// \file
-/// Several daemons' request machines before endpoints with limited slots, on a
-/// virtual clock: for measuring policies under load and faults. Daemons tell each
-/// other of their accounts' use as heartbeats do, every exchangeInterval.
+/// Simulates the request machines of several daemons and endpoints with limited slots
+/// on a virtual clock, to measure policies under load and faults. As with heartbeats,
+/// the daemons exchange their accounts' usage every exchangeInterval.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,19 +25,19 @@
 
 namespace harelink::sim {
 
-/// A stream of requests.
+/// A Poisson stream of requests.
 struct Flow
 {
     std::string account;
     std::string pipeline;
     double perSecond = 0;
-    Duration from{}; ///< Since the start of the run.
+    Duration from{}; ///< Time since the start of the run.
     Duration until{};
-    int host = -1;   ///< The only host that gets them; negative for all in turn by chance.
-    int prompts = 1; ///< Different prompts, low numbers far more often than high ones.
+    int host = -1;   ///< The only host that receives them; if negative, random hosts do.
+    int prompts = 1; ///< Number of distinct prompts; low ones are far more frequent.
 };
 
-/// What a world is made of.
+/// Configuration of a load simulation.
 struct LoadSetup
 {
     int hosts = 9;
@@ -47,11 +47,11 @@
     std::vector<ClientAccountSpec> accounts;
     std::string routing = "power-of-two";
     RequestLimits limits;
-    bool exchangesUse = true; ///< Daemons hear of each other's use.
+    bool exchangesUse = true; ///< Whether daemons exchange their usage.
     std::uint64_t seed = 1;
 };
 
-/// The world; \p G says what the machines decide by.
+/// The simulation; \p G selects the policies of the request machines.
 template <GuardPolicy G>
 class LoadWorld
 {
@@ -77,12 +77,13 @@
         scheduleExchange();
     }
 
-    /// Adds a stream of requests.
+    /// Starts sending the requests of \p flow.
     void add(const Flow &flow)
     {
         m_queue.after(flow.from, [=, this] { scheduleNext(flow); });
     }
-    /// Calls \p change on each endpoint of \p pool whose index is below \p count, at \p at.
+    /// Calls \p change at the time \p at on each endpoint of \p pool with an index below
+    /// \p count.
     void changeAt(Duration at, const std::string &pool, int count,
                   const std::function<void(LoadEndpoint &)> &change)
     {
@@ -92,7 +93,7 @@
             }
         });
     }
-    /// Every daemon learns that \p name is leaving, at \p at.
+    /// Marks the endpoint \p name as leaving in all daemons at the time \p at.
     void leaveAt(Duration at, const std::string &name)
     {
         m_queue.after(at, [=, this] {
@@ -105,7 +106,7 @@
 
     [[nodiscard]] LoadEndpoint &endpoint(const std::string &name) { return *m_endpoints.at(name); }
     [[nodiscard]] LoadReport &report() { return m_report; }
-    /// Sends of all daemons.
+    /// Returns the number of stage calls sent by all daemons.
     [[nodiscard]] std::uint64_t sends() const
     {
         std::uint64_t total = 0;
@@ -196,9 +197,9 @@
         event.id = {host.incarnation, ++host.lastSequence};
         event.account = flow.account;
         event.pipeline = flow.pipeline;
-        // Squared, so that a few prompts are asked for much more than the rest.
-        const double draw = m_random.unit();
-        event.body = fmt::format("prompt {}", static_cast<int>(draw * draw * flow.prompts));
+        // Squared, so that a few prompts are much more frequent than the rest.
+        const double sample = m_random.unit();
+        event.body = fmt::format("prompt {}", static_cast<int>(sample * sample * flow.prompts));
         m_report.submitted(event);
         host.machine->handle(std::move(event), *host.snapshot);
         pump(host);
@@ -225,7 +226,7 @@
         });
     }
 
-    /// Tells each host what the others used since the last time.
+    /// Adds to each host the usage of the other hosts since the last exchange.
     void exchange()
     {
         const TimePoint now = m_queue.now();
@@ -264,7 +265,7 @@
     void pump(Host &host)
     {
         for (RequestAction &action : host.machine->drainActions()) {
-            std::visit([&](const auto &what) { perform(host, what); }, action);
+            std::visit([&](const auto &event) { perform(host, event); }, action);
         }
     }
 
@@ -272,11 +273,11 @@
     void perform(Host &, const ClaimFinish &) {}
     void perform(Host &, const StreamChunk &) {}
     void perform(Host &, const BrokenCallReport &) {}
-    /// Only proxied requests bring the other actions, and none is sent here.
+    /// Only proxied requests cause the other actions, and none are sent here.
     template <typename Action>
     void perform(Host &, const Action &)
     {
-        assert(false && "an action that only carried requests bring");
+        assert(false && "only proxied requests cause this action");
     }
     void perform(Host &, const CancelStage &action)
     {
@@ -286,7 +287,7 @@
             m_calls.erase(found);
         }
     }
-    /// Claims are measured elsewhere: each is granted at once.
+    /// Grants each claim after one network delay; utils/bench/claims.cpp measures claims.
     void perform(Host &host, const ClaimRequest &action)
     {
         m_queue.after(networkDelay, [=, this, &host] {
@@ -304,7 +305,7 @@
         m_calls[stage.call] = &to;
         m_queue.after(networkDelay, [=, this, &host, &to] {
             if (!m_calls.contains(stage.call)) {
-                return; // Cancelled on its way.
+                return; // Cancelled while in transit.
             }
             to.admit(stage, [=, this, &host](const LoadAnswer &answer) {
                 m_calls.erase(stage.call);
--- a/test/sim/world.h
+++ b/test/sim/world.h
@@ -1,9 +1,9 @@
-//===- world.h - Daemon kernels among fakes ---------------------*- C++ -*-===//
+//===- world.h - Simulation of several daemon kernels -----------*- C++ -*-===//
 ///
 /// \file
-/// Several daemon kernels, each a request machine and a control machine, wired
-/// to each other, to the platform and to endpoints over a network that loses,
-/// delays, doubles and reorders.
+/// Simulates several daemon kernels, each a request machine and a control machine,
+/// that are connected to each other, to the platform and to endpoints over a network
+/// that loses, delays, duplicates and reorders messages.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,17 +25,17 @@
 
 namespace harelink::sim {
 
-/// How unreliable the world's network and endpoints are, as shares of messages.
+/// Fault probabilities of the network and the endpoints, per message or call.
 struct WorldFaults
 {
     double loseMessage = 0;
     double doubleMessage = 0;
     double lateMessage = 0;
-    double brokenCall = 0; ///< A call's connection breaks after it ran.
-    double lateAnswer = 0; ///< An answer comes once more, much later, on another call.
+    double brokenCall = 0; ///< The connection of a call breaks after the call ran.
+    double lateAnswer = 0; ///< An answer is delivered again, later, or for another call.
 };
 
-/// The world; \p G says which mechanisms the kernels have.
+/// The simulation; \p G selects the mechanisms that the kernels have.
 template <GuardPolicy G>
 class World
 {
@@ -59,12 +59,12 @@
         }
     }
 
-    // What a run or a scenario does to the world ------------------------------
+    // Operations of runs and scenarios ----------------------------------------
 
-    /// Runs for \p time; gives how many events ran.
+    /// Runs the simulation for \p time; returns the number of events run.
     std::uint64_t run(Duration time) { return m_queue.runUntil(m_queue.now() + time); }
 
-    /// Sends a request to \p hostName; false where nobody listens there.
+    /// Sends a request to \p hostName; returns false if no daemon runs there.
     bool submit(const std::string &hostName, const std::string &pipeline, const std::string &body,
                 const std::string &key, Duration allowed)
     {
@@ -75,8 +75,8 @@
         RequestArrived event;
         event.id = {host.incarnation, ++host.lastSequence};
         event.account = m_random.chance(0.5) ? "drivers" : "lab";
-        // A key is of one account, so that its retries meet it again; what ends endpoints
-        // comes again from one caller.
+        // Keys are scoped to an account, so retries of a key use the same account, and so
+        // do the repetitions of a request that crashes endpoints.
         event.account = key.empty() && !isCrashing(body) ? event.account : "drivers";
         event.pipeline = pipeline;
         event.body = body;
@@ -132,14 +132,14 @@
         scheduleTick(name, host.incarnation);
     }
 
-    /// Stops the host's clock hands: what comes in waits until thaw().
+    /// Freezes the host: events for it are deferred until thaw(). Its clock runs on.
     void freeze(const std::string &name)
     {
         m_trace.add("freeze " + name);
         m_hosts.at(name).frozen = true;
     }
 
-    /// The same of the whole host: without the guard its clock stands still too.
+    /// Suspends the whole host: without the guard countsSuspendedTime, its clock stops too.
     void suspend(const std::string &name)
     {
         Host &host = m_hosts.at(name);
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Begins a planned stop; the host ends when it is idle. A frozen host takes
-    /// the signal in when it thaws, after what came in before it.
+    /// Begins a planned stop; the host exits when it is idle. A frozen host handles the
+    /// signal when it thaws, after the events that were deferred before.
     void drainHost(const std::string &name)
     {
         Host &target = m_hosts.at(name);
@@ -191,7 +191,7 @@
         endpoint.down = true;
         ++endpoint.generation;
     }
-    /// The platform's host list says from now on that an endpoint is leaving.
+    /// Marks the endpoint as leaving in the platform's host list.
     void markEndpointLeaving(const std::string &name)
     {
         FakeEndpoint &endpoint = m_endpoints.at(name);
@@ -202,7 +202,7 @@
         endpoint.leavingSince = m_queue.now();
         m_platform.setHost(name, endpoint.dataCentre, "leaving", false);
     }
-    /// An operator changes an account's weight, over whatever is there.
+    /// Sets an account's weight as an operator, on top of the current version.
     void changeWeight(const std::string &account, int weight)
     {
         standin::PlatformStore &store = m_platform.store();
@@ -211,7 +211,8 @@
             {"kind", "ClientAccount"}, {"name", account}, {"spec", {{"weight", weight}}}};
         store.put("ClientAccount", account, current ? current->version : 0, document.dump());
     }
-    /// An operator drains \p dataCentre, or takes it back; where it is so already, nothing.
+    /// Drains \p dataCentre as an operator, or ends the drain. Does nothing if it is in
+    /// that state already.
     void setDrained(const std::string &dataCentre, bool isDrained)
     {
         constexpr const char *kind = "DataCentreDrain";
@@ -233,7 +234,7 @@
             }
         }
     }
-    /// Every living host has the platform's version of every object in force.
+    /// Returns whether each running host has the platform's version of each object in force.
     [[nodiscard]] bool converged()
     {
         for (const PlatformObject &object :
@@ -251,7 +252,7 @@
         }
         return true;
     }
-    /// The answers of an endpoint state \p limit from now on, or none.
+    /// Sets the rate limit that the answers of an endpoint announce; std::nullopt for none.
     void setLimit(const std::string &name, std::optional<double> limit)
     {
         FakeEndpoint &endpoint = m_endpoints.at(name);
@@ -261,13 +262,13 @@
         endpoint.limit = limit;
         m_checks.limitChanged(name);
     }
-    /// An endpoint refuses most requests from now on and asks for \p pause; zero for none.
+    /// Makes an endpoint refuse most requests and ask for \p pause; zero ends this.
     void setPause(const std::string &name, Duration pause)
     {
         m_trace.add(fmt::format("{} asks for pauses of {} ms", name, toMilliseconds(pause)));
         m_endpoints.at(name).pause = pause;
     }
-    /// The answers of an endpoint say from now on that it is leaving.
+    /// Makes the answers of an endpoint announce that it is leaving.
     void announceLeaving(const std::string &name)
     {
         m_trace.add(name + " announces that it is leaving");
@@ -310,7 +311,7 @@
         }
         return names;
     }
-    /// The control of a living host.
+    /// Returns the control machine of a running host.
     [[nodiscard]] const BasicControlMachine<G> &control(const std::string &host) const
     {
         return *m_hosts.at(host).control;
@@ -330,8 +331,8 @@
         std::uint64_t lastSequence = 0;
         bool isSuspended = false;
         std::optional<TimePoint> suspendedUntil;
-        TimePoint frozenAt;    ///< When it last stood still.
-        TimePoint disturbedAt; ///< When something last kept it from knowing what others know.
+        TimePoint frozenAt;    ///< When the host was last seen frozen.
+        TimePoint disturbedAt; ///< When it was last unable to receive updates.
         std::unique_ptr<HostClock> clock;
         std::unique_ptr<BasicRequestMachine<G>> requests;
         std::unique_ptr<BasicControlMachine<G>> control;
@@ -340,10 +341,10 @@
     };
 
     static constexpr std::chrono::milliseconds tickInterval{5};
-    /// Part of the requests that an endpoint refuses which asks for pauses.
+    /// Fraction of requests refused by an endpoint that asks for pauses.
     static constexpr double refusalProbability = 0.7;
     static constexpr std::chrono::milliseconds coldCheckTimeout{200};
-    /// Letters of an answer that make a token.
+    /// Characters per token of an answer.
     static constexpr std::size_t tokenLength = 4;
 
     static void stopHost(Host &host)
@@ -362,8 +363,8 @@
         m_platform.store().put(kind, name, 0, document.dump());
     }
 
-    /// The endpoint is cold from now on, and says so in its declaration. Each time by a
-    /// millisecond more, for what says nothing new is no news.
+    /// Makes the endpoint cold, and declares it. Each declaration adds a millisecond, since
+    /// a daemon ignores an unchanged declaration.
     void makeCold(const std::string &name, FakeEndpoint &endpoint)
     {
         endpoint.coldUntil = m_queue.now() + coldTime;
@@ -418,7 +419,7 @@
 
     // Events into a host ------------------------------------------------------
 
-    /// Calls \p event on the host if that start of it still lives; when frozen, later.
+    /// Calls \p event on the host if \p incarnation still runs; defers it if frozen.
     void onHost(const std::string &name, Incarnation incarnation,
                 const std::function<void(Host &)> &event)
     {
@@ -463,8 +464,8 @@
                 return;
             }
             recordDisturbance(host);
-            // As the daemon does, ask the control only after the workers, behind
-            // what they handed over: here, one tick later.
+            // As in the daemon, the control machine is asked only after the workers and after
+            // it has handled their events: here, one tick later.
             const bool idle =
                 host.draining && host.requests->inProgress() == 0 && host.control->idle();
             const bool stays = std::exchange(host.wasIdle, idle) && idle;
@@ -484,7 +485,7 @@
             return;
         }
         for (RequestAction &action : host.requests->drainActions()) {
-            std::visit([&](const auto &what) { perform(host, what); }, action);
+            std::visit([&](const auto &event) { perform(host, event); }, action);
         }
         ControlOutput output = host.control->drainOutput();
         for (const PlatformCall &call : output.calls) {
@@ -535,7 +536,7 @@
         }
     }
 
-    /// The way between a worker's and the control's thread.
+    /// Returns the delay between a worker's thread and the control thread.
     Duration handoverDelay() { return std::chrono::microseconds(10 + m_random.below(100)); }
     Duration networkDelay() { return std::chrono::microseconds(200 + m_random.below(800)); }
 
@@ -563,11 +564,11 @@
     void perform(Host &, const AnswerCaller &action) { m_checks.answered(action); }
     void perform(Host &, const CancelStage &) {}
     void perform(Host &, const StreamChunk &action) { m_checks.streamed(action); }
-    /// Only proxied requests bring the other actions, and none is sent here.
+    /// Only proxied requests cause the other actions, and none are sent here.
     template <typename Action>
     void perform(Host &, const Action &)
     {
-        assert(false && "an action that only carried requests bring");
+        assert(false && "only proxied requests cause this action");
     }
 
     void perform(Host &host, const ClaimRequest &action)
@@ -597,14 +598,15 @@
     {
         const std::string name = host.name;
         const Incarnation start = host.incarnation;
-        const ColdStateChecked silent{action.endpoint, m_queue.now(), std::nullopt};
+        const ColdStateChecked unanswered{action.endpoint, m_queue.now(), std::nullopt};
         const FakeEndpoint &endpoint = m_endpoints.at(action.endpoint);
         if (endpoint.down || m_cuts.isCut(host.dataCentre, endpoint.dataCentre)) {
-            m_queue.after(coldCheckTimeout, [=, this] { handleColdState(name, start, silent); });
+            m_queue.after(coldCheckTimeout,
+                          [=, this] { handleColdState(name, start, unanswered); });
             return;
         }
         m_queue.after(networkDelay(), [=, this] {
-            ColdStateChecked state = silent;
+            ColdStateChecked state = unanswered;
             state.coldFor = std::max<Duration>(
                 m_endpoints.at(state.endpoint).coldUntil - m_queue.now(), Duration::zero());
             m_queue.after(networkDelay(), [=, this] { handleColdState(name, start, state); });
@@ -618,7 +620,7 @@
         });
     }
 
-    /// What the daemon does at each of its control's turns.
+    /// Does what the daemon does after each tick of its control machine.
     void recordEndpointUpdates(Host &host)
     {
         recordEndpointUpdatesUntil(*host.snapshot, host.control->endpointUpdatesUntil(),
@@ -666,9 +668,9 @@
         const Incarnation start = host.incarnation;
         if (m_cuts.isCut(host.dataCentre, "platform")) {
             m_queue.after(std::chrono::milliseconds(300), [=, this] {
-                PlatformResult silent;
-                silent.id = call.id;
-                toControl(name, start, silent);
+                PlatformResult unanswered;
+                unanswered.id = call.id;
+                toControl(name, start, unanswered);
             });
             return;
         }
@@ -706,7 +708,7 @@
             return;
         }
         if (m_cuts.isCut(host.dataCentre, endpoint.dataCentre)) {
-            // The connection is never made; the daemon gives up by its deadline.
+            // The connection is never established; the daemon gives up at its deadline.
             return;
         }
         m_queue.after(networkDelay(), [=, this] { arrive(name, start, stage); });
@@ -775,22 +777,22 @@
         });
     }
 
-    /// Traces what \p host believes of an endpoint that is cold and gets a request from it.
+    /// Traces the state of \p host when it sends a request to a cold endpoint.
     void traceColdRequest(const Host &host, const std::string &name)
     {
         if (m_queue.now() >= m_endpoints.at(name).coldUntil || !host.alive) {
             return;
         }
         const EndpointEntry *entry = host.snapshot->endpoint(name);
-        const bool knows = entry != nullptr && isCold(*entry, m_queue.now());
+        const bool seesCold = entry != nullptr && isCold(*entry, m_queue.now());
         const char *access = host.control->connected() ? "reaches" : "does not reach";
         m_trace.add(fmt::format("{} is cold and gets a request of {}, which {} and {} the platform "
                                 "(in touch: {})",
-                                name, host.name, knows ? "knows it" : "takes it for warm", access,
-                                isStable(host)));
+                                name, host.name, seesCold ? "knows it" : "takes it for warm",
+                                access, isStable(host)));
     }
 
-    /// What the answers of the endpoint called \p name say of it now.
+    /// Returns the notice that the answers of the endpoint \p name carry now.
     [[nodiscard]] EndpointNotice noticeOf(const std::string &name) const
     {
         EndpointNotice notice;
@@ -799,7 +801,7 @@
         return notice;
     }
 
-    /// The endpoint does not run \p stage and asks for a pause.
+    /// Refuses \p stage before it runs, and asks for a pause.
     void refuse(const std::string &name, Incarnation start, const SendStage &stage)
     {
         StageFailed event;
@@ -812,39 +814,40 @@
         m_queue.after(networkDelay(), [=, this] { toRequests(name, start, event); });
     }
 
-    /// The endpoint that has begun to run \p stage ends, and is back some seconds later.
+    /// Crashes the endpoint while it runs \p stage, and restarts it 2 to 4 seconds later.
     void crashSoon(const std::string &name, Incarnation start, const SendStage &stage)
     {
         const Duration run = std::chrono::milliseconds(20 + m_random.below(130));
-        const Duration away = std::chrono::milliseconds(2000 + m_random.below(2000));
+        const Duration downtime = std::chrono::milliseconds(2000 + m_random.below(2000));
         const std::uint64_t generation = m_endpoints.at(stage.endpoint).generation;
         m_queue.after(run, [=, this] {
             FakeEndpoint &endpoint = m_endpoints.at(stage.endpoint);
             if (endpoint.generation == generation) {
                 m_checks.crashed(stage.request);
                 killEndpoint(stage.endpoint);
-                m_queue.after(away, [this, name = stage.endpoint] { startEndpoint(name); });
+                m_queue.after(downtime, [this, name = stage.endpoint] { startEndpoint(name); });
             }
             failStage(name, start, stage, SendEvidence::Sent);
         });
     }
 
-    /// Whether \p host lived, was not frozen and reached a well platform for so long that
-    /// it has to know what the others know.
+    /// Returns whether \p host ran, was not frozen and reached a healthy platform for
+    /// stabilizationTime, so that it must have received all earlier updates.
     [[nodiscard]] bool isStable(const Host &host) const
     {
         return m_queue.now() - host.disturbedAt >= stabilizationTime;
     }
 
-    /// Whether \p host was suspended and woke a moment ago: it may not have heard yet what
-    /// was said meanwhile. Seen: one that was suspended for 1.9 s, frozen before that with
-    /// the platform slow between, and sent to a leaving endpoint 0.9 ms after it woke.
+    /// Returns whether \p host was resumed within stabilizationTime, so that it may not have
+    /// received the updates of the meantime. A host that was frozen, had a slow platform and
+    /// was then suspended for 1.9 s sent to a leaving endpoint 0.9 ms after it resumed.
     [[nodiscard]] bool recentlyResumed(const Host &host) const
     {
         return host.suspendedUntil && m_queue.now() - *host.suspendedUntil < stabilizationTime;
     }
 
-    /// Whether \p host stood still a moment ago: what it sent then may arrive with the rest.
+    /// Returns whether \p host was frozen within stabilizationTime: calls that were delayed
+    /// then may arrive together with later ones.
     [[nodiscard]] bool wasRecentlyFrozen(const Host &host) const
     {
         return m_queue.now() - host.frozenAt < stabilizationTime;
@@ -856,14 +859,15 @@
             host.frozenAt = m_queue.now();
         }
         const FakePlatform::Faults &faults = m_platform.faults();
-        const bool isWell = !faults.outage && faults.slow == Duration::zero()
-                            && faults.loseAnswers == 0 && faults.applyLate == 0;
-        if (host.frozen || host.draining || !isWell || m_cuts.isCut(host.dataCentre, "platform")) {
+        const bool isHealthy = !faults.outage && faults.slow == Duration::zero()
+                               && faults.loseAnswers == 0 && faults.applyLate == 0;
+        if (host.frozen || host.draining || !isHealthy
+            || m_cuts.isCut(host.dataCentre, "platform")) {
             host.disturbedAt = m_queue.now();
         }
     }
 
-    /// A call whose answer comes in parts.
+    /// A call with a streamed answer.
     struct Stream
     {
         std::string host;
@@ -871,26 +875,27 @@
         SendStage stage;
         std::uint64_t generation = 0;
         Duration pause{};
-        std::uint64_t breakAt = 0; ///< The token before which the connection breaks.
+        std::uint64_t breakAt = 0; ///< Index of the token before which the connection breaks.
     };
 
     void streamNext(const Stream &stream, std::uint64_t token)
     {
         m_queue.after(stream.pause, [=, this] {
             const std::string whole = answerTo(stream.stage);
-            const std::size_t at = token * tokenLength;
+            const std::size_t offset = token * tokenLength;
             const bool died = m_endpoints.at(stream.stage.endpoint).generation != stream.generation;
-            StageChunk piece;
-            piece.call = stream.stage.call;
-            piece.echoed = stream.stage.call;
-            piece.firstToken = token;
+            StageChunk chunk;
+            chunk.call = stream.stage.call;
+            chunk.echoed = stream.stage.call;
+            chunk.firstToken = token;
             if (died || token == stream.breakAt) {
                 failStage(stream.host, stream.start, stream.stage, SendEvidence::Sent);
-                piece.text = at < whole.size() ? whole.substr(at, tokenLength) : std::string();
-                deliverLate(stream.host, stream.start, piece);
+                chunk.text =
+                    offset < whole.size() ? whole.substr(offset, tokenLength) : std::string();
+                deliverLate(stream.host, stream.start, chunk);
                 return;
             }
-            if (at >= whole.size()) {
+            if (offset >= whole.size()) {
                 StageAnswered event;
                 event.call = stream.stage.call;
                 event.echoed = stream.stage.call;
@@ -899,14 +904,14 @@
                 toRequests(stream.host, stream.start, event);
                 return;
             }
-            piece.text = whole.substr(at, tokenLength);
-            toRequests(stream.host, stream.start, piece);
+            chunk.text = whole.substr(offset, tokenLength);
+            toRequests(stream.host, stream.start, chunk);
             streamNext(stream, token + 1);
         });
     }
 
-    /// The answer of a call that was given up on still arrives, on the call that
-    /// is now current for the request, or long after.
+    /// With the probability lateAnswer, delivers the answer of a failed call after a delay,
+    /// either for the same call or for the next attempt of the request.
     template <typename Event>
     void deliverLate(const std::string &name, Incarnation start, Event event)
     {
@@ -927,9 +932,9 @@
     Checks m_checks;
     Cuts m_cuts;
     WorldFaults m_faults;
-    std::size_t m_maxMeshPeers; ///< With every other seed, heartbeats go through relays.
+    std::size_t m_maxMeshPeers; ///< 0 for even seeds, so that heartbeats go through relays.
     int m_dataCentres;
-    std::int64_t m_coldTransitions = 0; ///< Endpoints that have turned cold so far.
+    std::int64_t m_coldTransitions = 0; ///< Number of calls of makeCold().
     std::map<std::string, Host> m_hosts;
     std::map<std::string, FakeEndpoint> m_endpoints;
 };
