--- a/test/randrun/main.cpp
+++ b/test/randrun/main.cpp
@@ -1,13 +1,13 @@
-//===- main.cpp - Randomised runs from the command line -------------------===//
+//===- main.cpp - Command line of the randomized runs ---------------------===//
 ///
 /// \file
 /// harelink-randrun --seed N --steps M [--seeds K] [--crashes | --drains | --limits | --pauses]
 ///                  [--hosts H] [--lines L] [--without MECHANISM]
 ///
-/// Plays K runs from seed N on, M steps each, and prints "violations: V"; on a
-/// violation the seed and the last lines of its trace. With --without the run
-/// is a control: the kernel lacks one mechanism, and the exit code is 0 only if
-/// some run broke.
+/// Executes K runs of M steps each, with the seeds from N on, and prints "violations: V".
+/// On a violation, also prints the seed and the last lines of its trace. With --without
+/// the run is a control: the kernel lacks one mechanism, and the exit code is 0 only if
+/// some run violates an invariant.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +18,16 @@
 #include <fmt/format.h>
 
 DEFINE_uint64(seed, 1, "The first seed.");
-DEFINE_uint64(seeds, 1, "How many seeds to play.");
-DEFINE_uint64(steps, 20'000, "Events of each run.");
-DEFINE_bool(crashes, false, "Plays requests that end endpoints, and suspended hosts.");
-DEFINE_bool(drains, false, "Plays data centres that are drained and taken back.");
-DEFINE_bool(limits, false, "Plays endpoints that state rate limits.");
-DEFINE_bool(pauses, false, "Plays endpoints that ask for pauses, and one that leaves.");
-DEFINE_int32(hosts, 0, "Hosts of each run; 0 for as many as its kind has.");
-DEFINE_uint64(lines, 60, "Lines of its trace that a broken run prints.");
-DEFINE_string(without, "", "The mechanism to take out; empty for none.");
+DEFINE_uint64(seeds, 1, "Number of seeds to run.");
+DEFINE_uint64(steps, 20'000, "Number of events of each run.");
+DEFINE_bool(crashes, false, "Run requests that crash endpoints, and suspend hosts.");
+DEFINE_bool(drains, false, "Drain data centres and end the drains.");
+DEFINE_bool(limits, false, "Run endpoints that announce rate limits.");
+DEFINE_bool(pauses, false,
+            "Run endpoints that ask for pauses, and one that announces its departure.");
+DEFINE_int32(hosts, 0, "Number of hosts; 0 for the default of the run's kind.");
+DEFINE_uint64(lines, 60, "Number of trace lines to print on a violation.");
+DEFINE_string(without, "", "The mechanism to disable; empty for none.");
 
 std::map<std::string, harelink::sim::Player> &harelink::sim::players()
 {
--- a/test/randrun/player.cpp
+++ b/test/randrun/player.cpp
@@ -1,8 +1,8 @@
-//===- player.cpp - One player --------------------------------------------===//
+//===- player.cpp - Run function for one set of mechanisms ----------------===//
 ///
 /// \file
-/// Compiled once for each player, so that the compilers work side by side:
-/// HARELINK_PLAYER is its name and HARELINK_GUARD the guard that it lacks.
+/// Compiled once for each player, so that the compilations run in parallel:
+/// HARELINK_PLAYER is its name, HARELINK_GUARD the guard that it lacks, if any.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/test/randrun/players.h
+++ b/test/randrun/players.h
@@ -1,8 +1,8 @@
-//===- players.h - Runs with and without each mechanism ---------*- C++ -*-===//
+//===- players.h - Registry of run functions --------------------*- C++ -*-===//
 ///
 /// \file
-/// One player for the product and one for each control, which lacks one
-/// mechanism of harelink/Kernel/guards.h.
+/// Registers a run function (player) for the product, and one for each control, which
+/// lacks one mechanism of harelink/Kernel/guards.h.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,13 +16,13 @@
 
 namespace harelink::sim {
 
-/// Plays one run.
+/// Executes one run.
 using Player = RunResult (*)(const RunOptions &options);
 
-/// All players by the mechanism that they lack; the product's has an empty name.
+/// Returns all players by the name of the mechanism that they lack; empty for the product.
 std::map<std::string, Player> &players();
 
-/// Adds a player at start.
+/// Registers a player during static initialization.
 struct PlayerRegistration
 {
     PlayerRegistration(const char *name, Player player) { players().emplace(name, player); }
--- a/test/randrun/randrun.h
+++ b/test/randrun/randrun.h
@@ -1,7 +1,7 @@
-//===- randrun.h - One randomised run ---------------------------*- C++ -*-===//
+//===- randrun.h - Randomized simulation run --------------------*- C++ -*-===//
 ///
 /// \file
-/// Draws requests and faults from a seed and plays them to a world.
+/// Generates random requests and faults from a seed and runs them in a simulation.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,7 @@
 
 namespace harelink::sim {
 
-/// Plays one run.
+/// One randomized run; \p G selects the mechanisms that the kernels have.
 template <GuardPolicy G>
 class RandomRun
 {
@@ -32,7 +32,8 @@
         m_world.trace().setMaxLines(options.traceLines);
     }
 
-    /// Runs until \p steps events were handled, heals, and judges.
+    /// Runs until \p steps events were handled or an invariant is violated, then heals all
+    /// faults and does the final checks.
     RunResult play(std::uint64_t steps)
     {
         m_result.steps += m_world.run(std::chrono::seconds(2));
@@ -73,14 +74,14 @@
     static constexpr int hostCount = 4;
     static constexpr int hostCountOfLimits = 9;
     static constexpr int dataCentreCount = 2;
-    /// Time for everything to settle once all is healed: longer than any
-    /// deadline, back-off or heartbeat limit.
+    /// Time to settle after all faults were healed: longer than any deadline, backoff or
+    /// heartbeat timeout.
     static constexpr std::chrono::seconds settleTime{8};
-    /// Time in which one of the hosts asks an endpoint that has accepted nothing at all.
+    /// Time within which some host probes an endpoint that has accepted no requests at all.
     static constexpr std::chrono::seconds limitRecoveryTime{60};
     static constexpr std::size_t maxRetriedKeys = 40;
     static constexpr int maxLeavingEndpoints = 2;
-    /// How often one request that ends endpoints comes before another one does.
+    /// Number of times that a request that crashes endpoints is sent before the next one is.
     static constexpr std::uint64_t sendsPerCrashingRequest = 20;
 
     static int hostCountFor(const RunOptions &options)
@@ -114,7 +115,7 @@
             m_result.requests += m_world.submit(randomHost(), "answer", body, "", allowed) ? 1 : 0;
             return;
         }
-        // A new key, or one used lately: the retry of a caller in doubt.
+        // A new key, or a recent one: a retry by a caller that does not know the outcome.
         const bool again = m_keys > 0 && random().chance(0.5);
         const std::uint64_t key =
             again ? m_keys - random().below(std::min<std::uint64_t>(m_keys, 10)) : ++m_keys;
@@ -127,8 +128,8 @@
         }
     }
 
-    /// A request that ends endpoints comes again every half second or so for ten seconds, at
-    /// any host; then another one does.
+    /// Sends a request that crashes endpoints about every half second for ten seconds, each
+    /// time to a random host; then continues with another one.
     void maybeSubmitCrashing()
     {
         if (!random().chance(0.02)) {
@@ -160,8 +161,8 @@
         later(milliseconds(500), [=, this] { m_world.thaw(host); });
     }
 
-    /// An operator drains a data centre, or all, for some seconds. Each may be taken back at
-    /// once, and drained again while the others are cut off or the platform is away.
+    /// Drains one or all data centres for some seconds. A drain may end at once, and begin
+    /// again while the others are partitioned or the platform is unavailable.
     void drainOrRestoreDataCentres()
     {
         if (!random().chance(0.01)) {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Some endpoints state a limit for some seconds, another one or none after it.
+    /// Makes endpoints announce a rate limit for some seconds, then another one or none.
     void changeLimits()
     {
         constexpr std::array<double, 5> rates = {0, 0.5, 1, 1, 4};
@@ -190,7 +191,7 @@
         m_world.setLimit(endpoint, limit);
     }
 
-    /// Some endpoints refuse most requests for a while; one announces that it is leaving.
+    /// Makes endpoints refuse most requests for some time, and one announce its departure.
     void changePauses()
     {
         constexpr std::array<int, 3> pauseMillis = {800, 2000, 3000};
@@ -205,7 +206,8 @@
         }
     }
 
-    /// With everything well, each of those requests comes on: by now all have to know it.
+    /// Sends each request that crashes endpoints again without faults: by now all hosts must
+    /// have it in quarantine.
     void resubmitCrashingRequests()
     {
         constexpr int rounds = 8;
@@ -219,8 +221,8 @@
         }
     }
 
-    /// Lets a few endpoints leave, never all of a pool. The platform's word must
-    /// have a chance: the bound counts from when any daemon could know.
+    /// Marks a few endpoints as leaving, never all of a pool. The check allows for the time
+    /// until daemons can read this from the platform.
     void maybeRemoveEndpoint()
     {
         if (m_leavingEndpointCount < maxLeavingEndpoints && random().chance(0.002)) {
@@ -313,7 +315,8 @@
             m_world.setDrained(fmt::format("dc{}", i), false);
         }
         m_result.steps += m_world.run(settleTime);
-        // A planned stop that began before may have ended only now.
+        // A planned stop that began before healing may have finished only now, so start the
+        // stopped hosts again.
         m_world.healAll();
         m_result.steps += m_world.run(settleTime);
         resubmitCrashingRequests();
@@ -323,7 +326,7 @@
         if (!m_world.converged()) {
             m_world.checks().violation("the configuration is not in force everywhere");
         }
-        // A key that never ran can be run now: nothing may block it.
+        // A key that never ran must be runnable now: no claim may still block it.
         std::vector<Submission> keys = m_world.checks().neverRunKeys();
         if (keys.size() > maxRetriedKeys) {
             keys.resize(maxRetriedKeys);
@@ -346,7 +349,7 @@
         }
     }
 
-    /// Lifted limits become known by an answer, so callers have to come.
+    /// Sends requests, since daemons learn only from answers that a limit was lifted.
     void probeLiftedLimits()
     {
         const TimePoint end = m_world.queue().now() + limitRecoveryTime;
@@ -375,10 +378,10 @@
     World<G> m_world;
     RunKind m_kind;
     RunResult m_result;
-    std::uint64_t m_crashingRequests = 0; ///< Sent of the requests that end endpoints.
+    std::uint64_t m_crashingRequests = 0; ///< Sends of requests that crash endpoints.
     std::uint64_t m_crashKeys = 0;
     int m_leavingEndpointCount = 0;
-    bool m_failedInSettle = false; ///< In a check that settle() makes.
+    bool m_failedInSettle = false; ///< A check in settle() failed.
     std::uint64_t m_keys = 0;
     std::uint64_t m_bodies = 0;
 };
--- a/test/randrun/runresult.h
+++ b/test/randrun/runresult.h
@@ -1,4 +1,4 @@
-//===- runresult.h - What a randomised run came to --------------*- C++ -*-===//
+//===- runresult.h - Options and result of a randomized run -----*- C++ -*-===//
 
 #ifndef HARELINK_TEST_RANDRUN_RUNRESULT_H
 #define HARELINK_TEST_RANDRUN_RUNRESULT_H
@@ -10,34 +10,33 @@
 
 namespace harelink::sim {
 
-/// What a run plays besides requests, an operator's changes and faults.
+/// The events of a run, besides requests, an operator's changes and faults.
 enum class RunKind {
     Faults,
-    /// Requests that end the endpoints that run them and come again at any host, and hosts
-    /// that are suspended. Apart, so that the faults of the other runs are drawn as often as
-    /// they were.
+    /// Requests that crash the endpoints that run them and are retried at any host, and
+    /// suspended hosts. A kind of its own, so that the other runs keep their fault frequency.
     CrashesAndSuspensions,
-    /// Data centres that operators drain and take back, one or all of them, among the other
-    /// faults; apart for the same reason.
+    /// Drains of one or all data centres, together with the other faults. A kind of its own
+    /// for the same reason.
     Drains,
-    /// Endpoints that state rate limits in their answers.
+    /// Endpoints that announce rate limits in their answers.
     Limits,
-    /// Endpoints that refuse requests and ask for a pause, and one that announces in its
-    /// answers that it is leaving.
+    /// Endpoints that refuse requests and ask for a pause, and an endpoint whose answers
+    /// announce that it is leaving.
     Pauses,
 };
 
-/// What a run is to be.
+/// Options of a run.
 struct RunOptions
 {
     std::uint64_t seed = 1;
     std::uint64_t steps = 0;
     RunKind kind = RunKind::Faults;
-    int hosts = 0;               ///< 0 for as many as its kind has.
-    std::size_t traceLines = 60; ///< Kept for a violation.
+    int hosts = 0;               ///< 0 for the default of the run's kind.
+    std::size_t traceLines = 60; ///< Trace lines kept for the report of a violation.
 };
 
-/// What a run came to.
+/// Result of a run.
 struct RunResult
 {
     std::uint64_t steps = 0;
@@ -46,7 +45,7 @@
     int faults = 0;
     std::map<std::string, int> outcomes;
     std::vector<std::string> violations;
-    std::vector<std::string> lastLines; ///< Of the trace up to the first violation.
+    std::vector<std::string> lastLines; ///< Last trace lines up to the first violation.
 };
 
 } // namespace harelink::sim
--- a/test/scenarios/runner.cpp
+++ b/test/scenarios/runner.cpp
@@ -1,27 +1,27 @@
-//===- runner.cpp - Plays scenarios ---------------------------------------===//
+//===- runner.cpp - Scenario runner ---------------------------------------===//
 ///
 /// \file
-/// harelink-scenario FILE...: plays each file in a world of its own and fails on
-/// an expectation that is not met or a promise that is broken. A line is
+/// harelink-scenario FILE...: runs each file in a simulation of its own and fails if
+/// an expectation is not met. A line is one of
 ///
 ///   at TIME COMMAND         where TIME is as in "250ms" or "4s"
-///   expect WHAT             judged when all is done
-///   # a remark
+///   expect WHAT             checked after all commands and settling
+///   # a comment
 ///
 /// The commands:
 ///
 ///   send N answers to HOST           N repeatable requests
-///   send record KEY to HOST          one that may not be repeated
-///   send crashing answer NAME to HOST   one that ends each endpoint that runs it, and
-///   send crashing record NAME to HOST   the same that may not be repeated; under a NAME
-///                                    that came before it is the same request again
+///   send record KEY to HOST          a request that may not be repeated
+///   send crashing answer NAME to HOST   a request that crashes each endpoint that runs
+///                                    it; the same NAME sends the same request again
+///   send crashing record NAME to HOST   the same, but it may not be repeated
 ///   kill HOST | start HOST | freeze HOST | thaw HOST | drain HOST
 ///   kill endpoint NAME | leave endpoint NAME
 ///   cut PLACE from PLACE | heal
 ///   platform out | platform back | platform loses answers | platform applies late
-///   weigh ACCOUNT NUMBER             an operator's change
+///   weigh ACCOUNT NUMBER             an operator changes the account's weight
 ///
-/// What can be expected:
+/// The expectations:
 ///
 ///   no violations | converged
 ///   OUTCOME at least N | OUTCOME at most N | OUTCOME exactly N
@@ -45,7 +45,7 @@
 
 constexpr std::uint64_t scenarioSeed = 7;
 constexpr std::chrono::milliseconds requestDeadline{1000};
-/// Time after the last command for everything to settle.
+/// Time to settle after the last command.
 constexpr std::chrono::seconds settleTime{8};
 
 int parseNumber(const std::string &word)
@@ -54,7 +54,7 @@
     return absl::SimpleAtoi(word, &number) ? number : -1;
 }
 
-/// "250ms" or "4s".
+/// Parses a time such as "250ms" or "4s".
 std::optional<Duration> parseDuration(const std::string &word)
 {
     const std::size_t unit = word.find_first_not_of("0123456789");
@@ -74,7 +74,7 @@
 class Scenario
 {
 public:
-    /// Plays the file; false where it failed.
+    /// Runs the scenario in \p path; returns false if it is invalid or an expectation fails.
     bool play(const std::string &path)
     {
         std::ifstream file(path);
@@ -166,7 +166,7 @@
 
     bool sendCrashing(const std::string &pipeline, const std::string &name, const std::string &host)
     {
-        // Each caller's attempt has a key of its own.
+        // Each attempt of the caller uses a new idempotency key.
         const bool isRecord = pipeline == "record";
         const std::string key = isRecord ? fmt::format("{}-{}", name, ++m_bodies) : std::string();
         m_world.submit(host, pipeline, "crash " + name, key, requestDeadline);
