--- a/tools/harelink/callcommand.cpp
+++ b/tools/harelink/callcommand.cpp
@@ -1,4 +1,4 @@
-//===- callcommand.cpp - Sends one request --------------------------------===//
+//===- callcommand.cpp - The call command ---------------------------------===//
 
 #include "commands.h"
 #include "platform.h"
@@ -14,32 +14,32 @@
 #include <gflags/gflags.h>
 #include <nlohmann/json.hpp>
 
-DEFINE_string(daemon, "127.0.0.1:7000", "call: a daemon's address for callers.");
+DEFINE_string(daemon, "127.0.0.1:7000", "call: the daemon's address for callers.");
 DEFINE_string(account, "", "call: the client account.");
 DEFINE_string(token, "", "call: the account's bearer token.");
 DEFINE_string(key, "", "call: the idempotency key.");
-DEFINE_string(body, "{}", "call: the request's body, JSON.");
-DEFINE_int32(deadline_ms, 4000, "call: the deadline.");
-DEFINE_bool(stream, false, "call: print the answer as it comes.");
+DEFINE_string(body, "{}", "call: the request body, JSON.");
+DEFINE_int32(deadline_ms, 4000, "call: the deadline in milliseconds.");
+DEFINE_bool(stream, false, "call: stream the answer.");
 
 namespace harelink::cli {
 namespace {
 
-/// How long after the deadline an answer is still waited for.
-constexpr std::chrono::seconds patience{2};
+/// Time after the deadline for which the command still waits for an answer.
+constexpr std::chrono::seconds answerGracePeriod{2};
 
-/// Prints an answer that comes in parts.
+/// Prints a streamed answer.
 class StreamPrinter
 {
 public:
-    /// Takes in a part of the body.
-    void take(const std::string &body)
+    /// Handles the next part of the body.
+    void handleBody(const std::string &body)
     {
         m_reader.feed(body);
         while (const std::optional<std::string> data = m_reader.next()) {
             const nlohmann::json event = nlohmann::json::parse(*data, nullptr, false);
             if (event.is_object() && event.contains("outcome")) {
-                m_end = event;
+                m_closingEvent = event;
             } else if (event.is_object() && event.contains("text")) {
                 fmt::print("{}", event["text"].get<std::string>());
                 std::fflush(stdout);
@@ -48,23 +48,24 @@
             }
         }
     }
-    /// Prints what came of it; an answer without an end is not whole.
-    int conclude() const
+    /// Prints the outcome and returns the exit code. An answer without a closing event is
+    /// incomplete.
+    int finish() const
     {
         fmt::print("\n");
-        if (m_end.is_null()) {
+        if (m_closingEvent.is_null()) {
             fmt::print(stderr, "harelink: the answer broke off and is not whole\n");
             return ExitFailed;
         }
         fmt::print(stderr, "outcome {}, request {}, {} tokens, stages {}\n",
-                   m_end.value("outcome", ""), m_end.value("requestId", ""),
-                   m_end.value("tokens", 0), m_end.value("stages", ""));
-        return m_end.value("outcome", "") == "completed" ? ExitDone : ExitFailed;
+                   m_closingEvent.value("outcome", ""), m_closingEvent.value("requestId", ""),
+                   m_closingEvent.value("tokens", 0), m_closingEvent.value("stages", ""));
+        return m_closingEvent.value("outcome", "") == "completed" ? ExitDone : ExitFailed;
     }
 
 private:
     EventReader m_reader;
-    nlohmann::json m_end;
+    nlohmann::json m_closingEvent;
 };
 
 int reportReply(const HttpResult &result)
@@ -90,7 +91,7 @@
     HttpClient client;
     StreamPrinter printer;
     HttpResult result;
-    std::string other; // The body of a reply that is no stream.
+    std::string plainBody; // The body of a reply that is not an event stream.
     bool done = false;
     client.send(
         call,
@@ -100,18 +101,18 @@
         },
         [&](const HttpResult &head, const std::string &body) {
             if (isEventStream(head)) {
-                printer.take(body);
+                printer.handleBody(body);
             } else {
-                other += body;
+                plainBody += body;
             }
         });
     while (!done) {
         client.poll(std::chrono::seconds(1));
     }
     if (isEventStream(result)) {
-        return printer.conclude();
+        return printer.finish();
     }
-    result.body = std::move(other);
+    result.body = std::move(plainBody);
     return reportReply(result);
 }
 
@@ -128,7 +129,7 @@
     call.method = "POST";
     call.url = fmt::format("http://{}/v1/pipelines/{}/requests", FLAGS_daemon, words[0]);
     call.body = FLAGS_body;
-    call.timeout = std::chrono::milliseconds(FLAGS_deadline_ms) + patience;
+    call.timeout = std::chrono::milliseconds(FLAGS_deadline_ms) + answerGracePeriod;
     call.resendable = false;
     call.headers = {"Content-Type: application/json", "Harelink-Account: " + FLAGS_account,
                     fmt::format("Harelink-Deadline-Ms: {}", FLAGS_deadline_ms)};
--- a/tools/harelink/commands.h
+++ b/tools/harelink/commands.h
@@ -1,7 +1,8 @@
-//===- commands.h - The commands of the command line ------------*- C++ -*-===//
+//===- commands.h - Subcommands of the command line -------------*- C++ -*-===//
 ///
 /// \file
-/// Each command takes its words (without its own name) and gives an exit code.
+/// Each command gets its positional arguments (without its own name) and returns an
+/// exit code.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,19 +20,19 @@
 int applyCommand(const Words &words);
 /// Lists the resources of a kind, or prints one.
 int getCommand(const Words &words);
-/// Prints one resource with what the platform knows of it.
+/// Prints one resource with its version on the platform.
 int describeCommand(const Words &words);
 /// Deletes one resource.
 int deleteCommand(const Words &words);
 /// Prints changes to resources as they happen.
 int watchCommand(const Words &words);
-/// Shows what each daemon has in force.
+/// Prints the status and the version in force of each daemon.
 int statusCommand(const Words &words);
-/// Tells a daemon to stop as planned.
+/// Requests a planned stop of a daemon.
 int drainCommand(const Words &words);
-/// Prints what the logs of several daemons say of one request.
+/// Prints the log lines of several daemons that concern one request.
 int explainCommand(const Words &words);
-/// Prints a new pair of keys for daemons.
+/// Prints a new key pair for the peer connections of daemons.
 int keysCommand(const Words &words);
 /// Sends one request to a daemon and prints the answer.
 int callCommand(const Words &words);
--- a/tools/harelink/daemons.cpp
+++ b/tools/harelink/daemons.cpp
@@ -1,4 +1,4 @@
-//===- daemons.cpp - The daemons as the command line sees them ------------===//
+//===- daemons.cpp - Client of the daemons' operator API ------------------===//
 
 #include "daemons.h"
 
@@ -39,7 +39,7 @@
     std::vector<ListedDaemon> daemons;
     for (const PlatformObject &host : hosts.objects) {
         const nlohmann::json listed = nlohmann::json::parse(host.value, nullptr, false);
-        // Hosts without an address for operators run endpoints.
+        // Hosts without an operator address run endpoints, not a daemon.
         if (listed.is_object() && !listed.value("operators", "").empty()) {
             daemons.push_back(
                 {host.name, listed.value("dataCentre", ""), listed.value("operators", "")});
@@ -48,14 +48,14 @@
     return daemons;
 }
 
-nlohmann::json askStatus(const ListedDaemon &daemon)
+nlohmann::json fetchStatus(const ListedDaemon &daemon)
 {
     const HttpResult result = callDaemon(daemon, "GET", "/v1/status");
     nlohmann::json status = nlohmann::json::parse(result.body, nullptr, false);
     return status.is_object() ? status : nlohmann::json();
 }
 
-bool tellDrain(const ListedDaemon &daemon)
+bool requestDrain(const ListedDaemon &daemon)
 {
     return callDaemon(daemon, "POST", "/v1/drain").status == statusAccepted;
 }
--- a/tools/harelink/daemons.h
+++ b/tools/harelink/daemons.h
@@ -1,7 +1,7 @@
-//===- daemons.h - The daemons as the command line sees them ----*- C++ -*-===//
+//===- daemons.h - Client of the daemons' operator API ----------*- C++ -*-===//
 ///
 /// \file
-/// Finds the daemons on the platform's host list and asks them, one by one.
+/// Finds the daemons in the platform's host list and calls their operator API.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,20 +16,20 @@
 
 namespace harelink::cli {
 
-/// A daemon on the host list.
+/// A daemon in the host list.
 struct ListedDaemon
 {
     std::string host;
     std::string dataCentre;
-    std::string operators; ///< Where it listens for operators.
+    std::string operators; ///< Address of its operator API.
 };
 
-/// The daemons on the host list, by name; an error where the platform is silent.
+/// Returns the daemons in the host list; an error if the platform does not answer.
 [[nodiscard]] absl::StatusOr<std::vector<ListedDaemon>> listDaemons();
-/// What \p daemon says of itself, or null where it does not answer.
-[[nodiscard]] nlohmann::json askStatus(const ListedDaemon &daemon);
-/// Tells \p daemon to stop as planned; false where it does not answer.
-[[nodiscard]] bool tellDrain(const ListedDaemon &daemon);
+/// Returns the status that \p daemon reports, or null if it does not answer.
+[[nodiscard]] nlohmann::json fetchStatus(const ListedDaemon &daemon);
+/// Requests a planned stop of \p daemon; returns false if it does not accept it.
+[[nodiscard]] bool requestDrain(const ListedDaemon &daemon);
 
 } // namespace harelink::cli
 
--- a/tools/harelink/draincommand.cpp
+++ b/tools/harelink/draincommand.cpp
@@ -1,4 +1,4 @@
-//===- draincommand.cpp - Stops a daemon as planned -----------------------===//
+//===- draincommand.cpp - The drain command -------------------------------===//
 
 #include "commands.h"
 #include "daemons.h"
@@ -19,18 +19,18 @@
 namespace harelink::cli {
 namespace {
 
-constexpr std::chrono::milliseconds askInterval{100};
+constexpr std::chrono::milliseconds pollInterval{100};
 
 int waitUntilGone(const ListedDaemon &daemon)
 {
     const SystemClock clock;
     const TimePoint limit = clock.now() + std::chrono::seconds(FLAGS_wait_seconds);
-    while (!askStatus(daemon).is_null()) {
+    while (!fetchStatus(daemon).is_null()) {
         if (clock.now() >= limit) {
             fmt::print(stderr, "harelink: {} still has requests in progress\n", daemon.host);
             return ExitFailed;
         }
-        std::this_thread::sleep_for(askInterval);
+        std::this_thread::sleep_for(pollInterval);
     }
     fmt::print("{} has stopped\n", daemon.host);
     return ExitDone;
@@ -55,7 +55,7 @@
         return report(makeError(absl::StatusCode::kNotFound, "draining", words[0],
                                 "no daemon of that name is on the host list"));
     }
-    if (!tellDrain(*found)) {
+    if (!requestDrain(*found)) {
         return report(
             makeError(absl::StatusCode::kUnavailable, "draining", words[0], "it does not answer"));
     }
--- a/tools/harelink/explaincommand.cpp
+++ b/tools/harelink/explaincommand.cpp
@@ -1,4 +1,4 @@
-//===- explaincommand.cpp - harelink explain ------------------------------===//
+//===- explaincommand.cpp - The explain command ---------------------------===//
 
 #include "commands.h"
 #include "platform.h"
--- a/tools/harelink/harelink.cpp
+++ b/tools/harelink/harelink.cpp
@@ -1,7 +1,7 @@
-//===- harelink.cpp - The command line ------------------------------------===//
+//===- harelink.cpp - Command line client ---------------------------------===//
 ///
 /// \file
-/// Writes desired state to the platform, follows it, and sends single requests.
+/// Writes resources to the platform, monitors the rollout, and sends single requests.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 constexpr const char *version = "0.1.0";
 
-/// One command and what its help says.
+/// A command and its help text.
 struct Command
 {
     const char *name;
@@ -36,27 +36,29 @@
 
 constexpr Command commands[] = {
     {"apply", "apply -f FILE [--wait [--wait_seconds N]]",
-     "Checks all resources of the file, then writes each over the version it found.\n"
+     "Validates all resources of the file, then writes each if it is still unchanged.\n"
      "      With --wait, returns when they are in force at every daemon.",
      applyCommand},
     {"get", "get [KIND [NAME]] [--output json]", "Lists resources, or prints one with its version.",
      getCommand},
     {"describe", "describe KIND NAME", "Prints one resource.", describeCommand},
-    {"delete", "delete KIND NAME", "Deletes the version of a resource that it found.",
-     deleteCommand},
-    {"watch", "watch [KIND] [--changes N]", "Prints changes as they happen.", watchCommand},
+    {"delete", "delete KIND NAME", "Deletes a resource if it is still unchanged.", deleteCommand},
+    {"watch", "watch [KIND] [--changes N]", "Prints changes to resources as they happen.",
+     watchCommand},
     {"call", "call PIPELINE --account NAME [--body JSON] [--key KEY] [--daemon ADDRESS] [--stream]",
      "Sends one request; the answer goes to standard output.", callCommand},
     {"status", "status [--output json]",
-     "Shows each listed daemon: ready, version in force, faults, platform, peers.", statusCommand},
+     "Prints for each listed daemon: ready, version in force, faults, platform, peers.",
+     statusCommand},
     {"drain", "drain HOST [--wait [--wait_seconds N]]",
-     "Lets a daemon finish what is in progress and stop; with --wait, until it has.", drainCommand},
+     "Stops a daemon after its requests in progress; with --wait, waits for its exit.",
+     drainCommand},
     {"explain", "explain ID LOGFILE...",
-     "Gathers from the daemons' logs what concerns one request, by time. Its own lines are\n"
-     "      marked; between them stand what those daemons came to believe meanwhile.",
+     "Prints the lines of the daemons' logs that concern one request, by time. Lines that\n"
+     "      name it are marked; the others show state changes of those daemons meanwhile.",
      explainCommand},
     {"keys", "keys [--output json]",
-     "Makes a pair of keys under which the daemons of a fleet talk: their peerKeys.", keysCommand},
+     "Creates the key pair that the daemons of a fleet share: their peerKeys.", keysCommand},
     {"version", "version", "Prints the version.", versionCommand},
 };
 
@@ -86,15 +88,15 @@
 
 int main(int argc, char **argv)
 {
-    Words all(argv + 1, argv + argc);
-    const bool wantsHelp = std::any_of(all.begin(), all.end(), isHelp);
-    if (all.empty() || isHelp(all[0])) {
+    Words arguments(argv + 1, argv + argc);
+    const bool wantsHelp = std::any_of(arguments.begin(), arguments.end(), isHelp);
+    if (arguments.empty() || isHelp(arguments[0])) {
         printHelp();
-        return all.empty() ? ExitUsage : ExitDone;
+        return arguments.empty() ? ExitUsage : ExitDone;
     }
-    const Command *command = findCommand(all[0]);
+    const Command *command = findCommand(arguments[0]);
     if (command == nullptr) {
-        fmt::print(stderr, "harelink: '{}' is no command; see 'harelink --help'\n", all[0]);
+        fmt::print(stderr, "harelink: '{}' is no command; see 'harelink --help'\n", arguments[0]);
         return ExitUsage;
     }
     if (wantsHelp) {
--- a/tools/harelink/keyscommand.cpp
+++ b/tools/harelink/keyscommand.cpp
@@ -1,4 +1,4 @@
-//===- keyscommand.cpp - Makes keys for daemons ---------------------------===//
+//===- keyscommand.cpp - The keys command ---------------------------------===//
 
 #include "commands.h"
 #include "platform.h"
--- a/tools/harelink/objectcommands.cpp
+++ b/tools/harelink/objectcommands.cpp
@@ -1,4 +1,4 @@
-//===- objectcommands.cpp - Commands on declared resources ----------------===//
+//===- objectcommands.cpp - Commands for declared resources ---------------===//
 
 #include "commands.h"
 #include "platform.h"
@@ -15,17 +15,17 @@
 #include <fstream>
 #include <sstream>
 
-DEFINE_string(f, "", "apply: the file of resources.");
-DEFINE_bool(wait, false, "apply, drain: return when it has come to pass.");
-DEFINE_string(output, "table", "table or json.");
-DEFINE_int32(changes, 0, "watch: end after so many changes; 0 goes on for ever.");
+DEFINE_string(f, "", "apply: the file with the resources.");
+DEFINE_bool(wait, false, "apply, drain: wait for completion.");
+DEFINE_string(output, "table", "Output format: table or json.");
+DEFINE_int32(changes, 0, "watch: exit after this number of changes; 0 for no limit.");
 
 namespace harelink::cli {
 namespace {
 
 constexpr std::chrono::seconds watchWait{10};
 
-int usage(const std::string &text)
+int printUsage(const std::string &text)
 {
     fmt::print(stderr, "harelink: usage: harelink {}\n", text);
     return ExitUsage;
@@ -48,7 +48,7 @@
     return std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
 }
 
-int unknownKind(const std::string &kind)
+int reportUnknownKind(const std::string &kind)
 {
     return report(makeError(absl::StatusCode::kInvalidArgument, "reading the command", "",
                             fmt::format("kind '{}' is unknown; known are: {}", kind,
@@ -65,7 +65,7 @@
     return call;
 }
 
-/// Prints what \p before lacks of \p after, one difference a line.
+/// Prints the JSON patch from \p before to \p after, one operation per line.
 void printDifference(const nlohmann::json &before, const nlohmann::json &after)
 {
     for (const nlohmann::json &change : nlohmann::json::diff(before, after)) {
@@ -76,9 +76,9 @@
 
 int reportConflict(const Resource &resource, Version current, const std::string &stored)
 {
-    const std::string place = fmt::format("{}/{}", resource.kind, resource.name);
+    const std::string objectName = fmt::format("{}/{}", resource.kind, resource.name);
     const int code = report(makeError(
-        absl::StatusCode::kAborted, "writing", place,
+        absl::StatusCode::kAborted, "writing", objectName,
         fmt::format("somebody changed it: it is at version {} now; nothing was overwritten. "
                     "look at 'harelink get {} {}' and apply again",
                     current, resource.kind, resource.name)));
@@ -90,10 +90,11 @@
     return code;
 }
 
-/// Writes one resource, and notes in \p wanted the version to wait for.
+/// Writes one resource, and records in \p wanted the version to wait for. Returns the
+/// exit code.
 int applyOne(const Resource &resource, WantedVersions &wanted)
 {
-    const std::string place = fmt::format("{}/{}", resource.kind, resource.name);
+    const std::string objectName = fmt::format("{}/{}", resource.kind, resource.name);
     const PlatformResult found =
         callPlatform(objectCall(PlatformOperation::Get, resource.kind, resource.name));
     const bool exists = found.outcome == PlatformOutcome::Ok;
@@ -106,7 +107,7 @@
     }
     if (exists && nlohmann::json::parse(found.value, nullptr, false) == resource.document) {
         fmt::print("{}/{} unchanged, version {}\n", resource.kind, resource.name, current);
-        wanted[place] = current;
+        wanted[objectName] = current;
         return ExitDone;
     }
     PlatformCall put = objectCall(PlatformOperation::Put, resource.kind, resource.name);
@@ -123,7 +124,7 @@
     }
     fmt::print("{}/{} {}, version {}\n", resource.kind, resource.name,
                exists ? "changed" : "created", written.version);
-    wanted[place] = written.version;
+    wanted[objectName] = written.version;
     return ExitDone;
 }
 
@@ -181,13 +182,13 @@
 int applyCommand(const Words &words)
 {
     if (FLAGS_f.empty() || !words.empty()) {
-        return usage("apply -f FILE [--wait]");
+        return printUsage("apply -f FILE [--wait]");
     }
     const absl::StatusOr<std::string> text = readFile(FLAGS_f);
     if (!text.ok()) {
         return report(text.status());
     }
-    // Everything is checked before anything is written.
+    // Validate all resources before writing any of them.
     absl::StatusOr<std::vector<Resource>> resources = readResources(*text, FLAGS_f);
     if (!resources.ok()) {
         return report(resources.status());
@@ -208,21 +209,21 @@
         return listKind(fmt::format("{}", fmt::join(resourceKinds(), ",")));
     }
     if (!isKind(words[0])) {
-        return unknownKind(words[0]);
+        return reportUnknownKind(words[0]);
     }
     if (words.size() == 1) {
         return listKind(words[0]);
     }
-    return words.size() == 2 ? getOne(words[0], words[1]) : usage("get [KIND [NAME]]");
+    return words.size() == 2 ? getOne(words[0], words[1]) : printUsage("get [KIND [NAME]]");
 }
 
 int describeCommand(const Words &words)
 {
     if (words.size() != 2) {
-        return usage("describe KIND NAME");
+        return printUsage("describe KIND NAME");
     }
     if (!isKind(words[0])) {
-        return unknownKind(words[0]);
+        return reportUnknownKind(words[0]);
     }
     return getOne(words[0], words[1]);
 }
@@ -230,17 +231,17 @@
 int deleteCommand(const Words &words)
 {
     if (words.size() != 2) {
-        return usage("delete KIND NAME");
+        return printUsage("delete KIND NAME");
     }
     if (!isKind(words[0])) {
-        return unknownKind(words[0]);
+        return reportUnknownKind(words[0]);
     }
-    const std::string place = fmt::format("{}/{}", words[0], words[1]);
+    const std::string objectName = fmt::format("{}/{}", words[0], words[1]);
     const PlatformResult found =
         callPlatform(objectCall(PlatformOperation::Get, words[0], words[1]));
     if (found.outcome == PlatformOutcome::NotFound) {
-        return report(
-            makeError(absl::StatusCode::kNotFound, "deleting", place, "there is no such object"));
+        return report(makeError(absl::StatusCode::kNotFound, "deleting", objectName,
+                                "there is no such object"));
     }
     if (found.outcome != PlatformOutcome::Ok) {
         return reportUnreachable(found);
@@ -249,7 +250,7 @@
     call.ifVersion = found.version;
     const PlatformResult deleted = callPlatform(call);
     if (deleted.outcome == PlatformOutcome::Conflict) {
-        return report(makeError(absl::StatusCode::kAborted, "deleting", place,
+        return report(makeError(absl::StatusCode::kAborted, "deleting", objectName,
                                 fmt::format("somebody changed it: it is at version {} now; "
                                             "nothing was deleted",
                                             deleted.version)));
@@ -257,17 +258,17 @@
     if (deleted.outcome != PlatformOutcome::Ok) {
         return reportUnreachable(deleted);
     }
-    fmt::print("{} deleted, version {}\n", place, deleted.version);
+    fmt::print("{} deleted, version {}\n", objectName, deleted.version);
     return ExitDone;
 }
 
 int watchCommand(const Words &words)
 {
     if (words.size() > 1) {
-        return usage("watch [KIND]");
+        return printUsage("watch [KIND]");
     }
     if (words.size() == 1 && !isKind(words[0])) {
-        return unknownKind(words[0]);
+        return reportUnknownKind(words[0]);
     }
     const std::string kinds =
         words.empty() ? fmt::format("{}", fmt::join(resourceKinds(), ",")) : words[0];
--- a/tools/harelink/platform.cpp
+++ b/tools/harelink/platform.cpp
@@ -1,4 +1,4 @@
-//===- platform.cpp - The platform as the command line sees it ------------===//
+//===- platform.cpp - Client of the platform's object API -----------------===//
 
 #include "platform.h"
 
@@ -8,7 +8,7 @@
 #include <fmt/format.h>
 #include <gflags/gflags.h>
 
-DEFINE_string(platform, "127.0.0.1:7070", "The platform's object API, IP number and port.");
+DEFINE_string(platform, "127.0.0.1:7070", "IP address and port of the platform's object API.");
 
 namespace harelink::cli {
 namespace {
--- a/tools/harelink/statuscommand.cpp
+++ b/tools/harelink/statuscommand.cpp
@@ -1,4 +1,4 @@
-//===- statuscommand.cpp - What is in force where -------------------------===//
+//===- statuscommand.cpp - The status command -----------------------------===//
 
 #include "commands.h"
 #include "daemons.h"
@@ -13,7 +13,7 @@
 namespace harelink::cli {
 namespace {
 
-/// How many objects of a status are not in force as seen.
+/// Returns the number of objects in \p status that have a fault.
 int countFaults(const nlohmann::json &status)
 {
     int faults = 0;
@@ -54,7 +54,7 @@
                    "VERSION", "FAULTS", "PLATFORM", "PEERS");
     }
     for (const ListedDaemon &daemon : *daemons) {
-        const nlohmann::json status = askStatus(daemon);
+        const nlohmann::json status = fetchStatus(daemon);
         code = status.is_object() ? code : ExitUnreachable;
         if (FLAGS_output == "json") {
             all.push_back({{"host", daemon.host}, {"status", status}});
--- a/tools/harelink/waiting.cpp
+++ b/tools/harelink/waiting.cpp
@@ -1,4 +1,4 @@
-//===- waiting.cpp - Waiting for daemons ----------------------------------===//
+//===- waiting.cpp - Wait for a rollout -----------------------------------===//
 
 #include "waiting.h"
 
@@ -12,14 +12,15 @@
 
 #include <thread>
 
-DEFINE_int32(wait_seconds, 30, "apply --wait, drain --wait: the longest wait.");
+DEFINE_int32(wait_seconds, 30, "apply --wait, drain --wait: the maximum wait in seconds.");
 
 namespace harelink::cli {
 namespace {
 
-constexpr std::chrono::milliseconds askInterval{200};
+constexpr std::chrono::milliseconds pollInterval{200};
 
-/// What of \p wanted is not in force at a daemon with \p status, or empty.
+/// Describes the first object of \p wanted that is not in force according to \p status;
+/// empty if all are.
 std::string missingAt(const nlohmann::json &status, const WantedVersions &wanted)
 {
     if (!status.is_object()) {
@@ -39,13 +40,13 @@
     return {};
 }
 
-/// The daemons where something is missing, with what it is.
-std::map<std::string, std::string> laggards(const std::vector<ListedDaemon> &daemons,
-                                            const WantedVersions &wanted)
+/// Returns the daemons that lag behind, with the description of missingAt().
+std::map<std::string, std::string> findLaggingDaemons(const std::vector<ListedDaemon> &daemons,
+                                                      const WantedVersions &wanted)
 {
     std::map<std::string, std::string> missing;
     for (const ListedDaemon &daemon : daemons) {
-        const std::string what = missingAt(askStatus(daemon), wanted);
+        const std::string what = missingAt(fetchStatus(daemon), wanted);
         if (!what.empty()) {
             missing[daemon.host] = what;
         }
@@ -64,7 +65,7 @@
         if (!daemons.ok()) {
             return report(daemons.status());
         }
-        const std::map<std::string, std::string> missing = laggards(*daemons, wanted);
+        const std::map<std::string, std::string> missing = findLaggingDaemons(*daemons, wanted);
         if (missing.empty()) {
             fmt::print("in force at all {} daemons\n", daemons->size());
             return ExitDone;
@@ -75,7 +76,7 @@
             }
             return ExitNotInForce;
         }
-        std::this_thread::sleep_for(askInterval);
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
--- a/tools/harelink/waiting.h
+++ b/tools/harelink/waiting.h
@@ -1,7 +1,7 @@
-//===- waiting.h - Waiting for daemons --------------------------*- C++ -*-===//
+//===- waiting.h - Wait for a rollout ---------------------------*- C++ -*-===//
 ///
 /// \file
-/// Waits until what an operator wrote is in force at every daemon.
+/// Waits until written objects are in force at every daemon.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,11 +15,11 @@
 
 namespace harelink::cli {
 
-/// Objects, as "Kind/name", with the least version that is to be in force.
+/// The minimum version that must be in force, by object ("Kind/name").
 using WantedVersions = std::map<std::string, Version>;
 
-/// Waits for at most --wait_seconds; names the daemons that have not got there,
-/// and what each of them lacks. Gives the exit code.
+/// Waits for at most --wait_seconds. On timeout, prints the daemons that lag behind and
+/// the first object that each of them lacks. Returns the exit code.
 int waitUntilInForce(const WantedVersions &wanted);
 
 } // namespace harelink::cli
--- a/tools/harelinkd/harelinkd.cpp
+++ b/tools/harelinkd/harelinkd.cpp
@@ -1,10 +1,11 @@
-//===- harelinkd.cpp - The daemon -----------------------------------------===//
+//===- harelinkd.cpp - Daemon executable ----------------------------------===//
 ///
 /// \file
-/// Serves callers' requests. SIGTERM begins a planned stop; a second one ends
-/// it at once, with an honest answer to everything in progress.
+/// Serves callers' requests. SIGTERM begins a planned stop. A second SIGTERM stops at
+/// once; requests in progress are then answered with their actual outcome.
+/// SIGHUP reloads the settings file.
 ///
-/// Exit codes: 0 stopped as planned, 78 the settings are wrong, 1 otherwise.
+/// Exit codes: 0 after a planned stop, 78 if the settings are invalid, 1 otherwise.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,7 @@
 #include <unistd.h>
 
 DEFINE_string(config, "", "The settings file, JSON with comments.");
-DEFINE_bool(check_config, false, "Only check the settings file.");
+DEFINE_bool(check_config, false, "Validate the settings file and exit.");
 
 namespace {
 
@@ -34,9 +35,9 @@
 constexpr Logger logger("daemon");
 /// EX_CONFIG of sysexits.h.
 constexpr int exitBadSettings = 78;
-/// How often a stopping daemon looks whether it is idle.
-constexpr std::chrono::milliseconds drainPoll{20};
-/// Left after the last answer, so that it reaches its caller.
+/// Interval at which a stopping daemon checks whether it is idle.
+constexpr std::chrono::milliseconds drainPollInterval{20};
+/// Delay after the last answer, so that it reaches its caller.
 constexpr std::chrono::milliseconds lastAnswerGrace{100};
 
 absl::StatusOr<Settings> loadSettings(const std::string &path)
@@ -64,7 +65,7 @@
     }
 }
 
-/// The signals that end the daemon.
+/// Returns the signals that stop the daemon.
 sigset_t stopSignals()
 {
     sigset_t signals;
@@ -74,8 +75,8 @@
     return signals;
 }
 
-/// Blocks these in this and all later threads. A write to a connection that its peer has
-/// closed must end the connection, not the process.
+/// Blocks the stop signals, SIGHUP and SIGPIPE in this and all later threads. A write to a
+/// connection that was closed by its peer must end the connection, not the process.
 void blockSignals()
 {
     sigset_t signals = stopSignals();
@@ -84,8 +85,8 @@
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-/// Reads the settings file again. What may change in a running daemon takes effect, and
-/// whatever else differs is told; a file with faults changes nothing.
+/// Reloads the settings file. Settings that may change at run time take effect; the log
+/// reports whether others differ and need a restart. An invalid file changes nothing.
 void reloadSettings(Settings &inForce)
 {
     const absl::StatusOr<Settings> settings = loadSettings(FLAGS_config);
@@ -101,7 +102,7 @@
         .field("needsRestart", *settings == inForce ? "no" : "yes");
 }
 
-/// Waits for a signal that ends the daemon.
+/// Waits for a stop signal; reloads the settings on SIGHUP.
 void serveUntilStopped(Settings settings)
 {
     sigset_t signals = stopSignals();
@@ -114,7 +115,7 @@
     }
 }
 
-/// Waits up to \p time for a stop signal.
+/// Waits up to \p time for a stop signal; returns whether one arrived.
 bool waitForSignal(const sigset_t &signals, std::chrono::milliseconds time)
 {
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
@@ -128,11 +129,12 @@
     const SystemClock clock;
     const TimePoint limit = clock.now() + daemon.settings().drainLimit;
     daemon.announceStop();
-    logger.info("Stopping: the balancer is told, then requests in progress are finished.");
-    bool atOnce = waitForSignal(signals, daemon.settings().balancerGrace);
+    logger.info(
+        "Stopping: reporting not ready to the balancer, then finishing the requests in progress.");
+    bool stopNow = waitForSignal(signals, daemon.settings().balancerGrace);
     daemon.drain();
-    while (!atOnce && !daemon.idle() && clock.now() < limit) {
-        atOnce = waitForSignal(signals, drainPoll);
+    while (!stopNow && !daemon.idle() && clock.now() < limit) {
+        stopNow = waitForSignal(signals, drainPollInterval);
     }
     daemon.abandonAll();
     std::this_thread::sleep_for(lastAnswerGrace);
@@ -158,7 +160,7 @@
     }
     applyLogLevel(settings->logLevel);
     blockSignals();
-    // An operator's word comes in as the signal does.
+    // A stop requested over the operator API is handled like the signal.
     Daemon daemon(*settings, [] { ::kill(::getpid(), SIGTERM); });
     const absl::Status started = daemon.start();
     if (!started.ok()) {
