--- a/utils/bench/claims.cpp
+++ b/utils/bench/claims.cpp
@@ -1,10 +1,10 @@
-//===- claims.cpp - Platform calls per claim ------------------------------===//
+//===- claims.cpp - Benchmark of platform calls per claim -----------------===//
 ///
 /// \file
-/// Plays claims at several rates in a world of four daemons on a virtual clock,
-/// and counts the platform's calls for each claim, its end included. The
-/// baseline, an object per key, costs one create and one update a claim; the
-/// share of calls that are lost comes on top of both.
+/// Simulates claims at several rates with four daemons on a virtual clock, and counts
+/// the platform calls per claim, including its finish. The baseline, one object per key,
+/// takes one create and one update per claim. Both figures include the repetition of
+/// lost calls.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/utils/bench/cut.cpp
+++ b/utils/bench/cut.cpp
@@ -1,12 +1,13 @@
-//===- cut.cpp - What cutting a reply costs -------------------------------===//
+//===- cut.cpp - Benchmark of aborting a reply ----------------------------===//
 ///
 /// \file
-/// Cuts replies while other connections are open, and prints how long the thread that
-/// cuts is held and how long its caller waits for the end, for each number of them.
+/// Aborts replies while other connections are open. For each number of open connections,
+/// prints the time for which the aborting thread is blocked, and the time until the caller
+/// sees the end of the connection.
 ///
-/// Before, with a register of all sockets that was asked one after the other: 7.6 us beside
-/// 10 connections, 1,584 us beside 4,000. Handed to where the connection's other operations
-/// run: 2.9 us and 2.3 us.
+/// A linear search through a registry of all sockets blocked the thread for 7.6 us with 10
+/// connections and 1,584 us with 4,000. Posting the abort to the executor of the connection
+/// takes 2.9 us and 2.3 us.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,13 +33,13 @@
 constexpr int fewConnections = 10;
 constexpr int manyConnections = 4000;
 
-double middle(std::vector<double> values)
+double median(std::vector<double> values)
 {
     std::sort(values.begin(), values.end());
     return values[values.size() / 2];
 }
 
-/// Cuts one reply after another beside \p connections others.
+/// Aborts one reply after another while \p connections other connections are open.
 void measure(int connections)
 {
     std::promise<Responder> arrived;
@@ -51,8 +52,8 @@
     for (int i = 0; i < connections; ++i) {
         others.push_back(std::make_unique<HttpCaller>(server->port()));
     }
-    std::vector<double> held;
-    std::vector<double> ended;
+    std::vector<double> blocked;
+    std::vector<double> endSeen;
     for (int i = 0; i < cuts; ++i) {
         arrived = {};
         const HttpCaller caller(server->port());
@@ -67,13 +68,13 @@
         part.abort = true;
         const SteadyClock::time_point begin = SteadyClock::now();
         respond(part);
-        held.push_back(Micros(SteadyClock::now() - begin).count());
+        blocked.push_back(Micros(SteadyClock::now() - begin).count());
         (void)caller.hearAll();
-        ended.push_back(Micros(SteadyClock::now() - begin).count());
+        endSeen.push_back(Micros(SteadyClock::now() - begin).count());
     }
     fmt::print("{:5} other connections: the thread is held for {:7.1f} us, "
                "the caller sees the end after {:7.1f} us (medians of {})\n",
-               connections, middle(std::move(held)), middle(std::move(ended)), cuts);
+               connections, median(std::move(blocked)), median(std::move(endSeen)), cuts);
 }
 
 } // namespace
--- a/utils/bench/fleet.cpp
+++ b/utils/bench/fleet.cpp
@@ -1,14 +1,14 @@
-//===- fleet.cpp - What many daemons tell each other and the store --------===//
+//===- fleet.cpp - Benchmark of the control traffic of a fleet ------------===//
 ///
 /// \file
-/// Starts a number of controls on a virtual clock, plays a start, a settled time and a
-/// change, and prints for each what they sent, heard and asked of the store, and how much
-/// processor time all of them took.
+/// Runs a number of control machines on a virtual clock through startup, a steady period
+/// and a configuration change. Prints for each phase the messages sent and received, the
+/// calls to the store, and the total processor time.
 ///
-/// 300 daemons and 285 endpoints, a settled second: 5,900 messages and 3,550 KB where watchers
-/// told digests to all and whole summaries held the list of hosts; 2,150 and 306 KB since.
-/// Five settled seconds took 10.18 s of processor time while lists of hosts were made at each
-/// turn, and 1.74 s since they are kept.
+/// With 300 daemons and 285 endpoints, a steady second takes 2,150 messages and 306 KB; it
+/// took 5,900 messages and 3,550 KB when watchers sent digests to all peers and full
+/// summaries contained the host list. Five steady seconds take 1.74 s of processor time; they
+/// took 10.18 s when the host lists were rebuilt on each tick instead of cached.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,10 +19,11 @@
 #include <chrono>
 #include <ctime>
 
-DEFINE_int32(hosts, 300, "Daemons.");
-DEFINE_int32(data_centres, 5, "Over which they are spread.");
-DEFINE_int32(able, 3, "Hosts of each data centre with four times the others' capacity.");
-DEFINE_int32(endpoints, 285, "Endpoints that are declared.");
+DEFINE_int32(hosts, 300, "Number of daemons.");
+DEFINE_int32(data_centres, 5, "Number of data centres over which the daemons are spread.");
+DEFINE_int32(able, 3,
+             "Number of hosts per data centre with four times the capacity of the others.");
+DEFINE_int32(endpoints, 285, "Number of declared endpoints.");
 
 namespace {
 
@@ -52,14 +53,14 @@
     }
 }
 
-void play(ControlFleet &fleet, const char *what, milliseconds time)
+void runPhase(ControlFleet &fleet, const char *what, milliseconds time)
 {
     (void)fleet.drainTraffic();
     const std::clock_t begin = std::clock();
     fleet.run(time);
-    const double taken = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
+    const double processorSeconds = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
     fmt::print("{}, {} ms: {:.2f} s of processor time; up to date: {}; fewest peers known: {}\n",
-               what, time.count(), taken, fleet.upToDateHosts(), fleet.minLivePeers());
+               what, time.count(), processorSeconds, fleet.upToDateHosts(), fleet.minLivePeers());
     print(fleet.drainTraffic());
 }
 
@@ -74,10 +75,10 @@
                         .endpoints = FLAGS_endpoints});
     fleet.startAll();
     for (int i = 0; i < 8; ++i) {
-        play(fleet, "start", milliseconds(500));
+        runPhase(fleet, "start", milliseconds(500));
     }
-    play(fleet, "settled", milliseconds(5000));
+    runPhase(fleet, "settled", milliseconds(5000));
     fleet.declare("ClientAccount", "drivers", R"({"weight": 2})");
-    play(fleet, "a change", milliseconds(1000));
+    runPhase(fleet, "a change", milliseconds(1000));
     return 0;
 }
--- a/utils/bench/hop.cpp
+++ b/utils/bench/hop.cpp
@@ -1,9 +1,9 @@
-//===- hop.cpp - What a daemon between caller and endpoint costs ----------===//
+//===- hop.cpp - Benchmark of the overhead of a daemon --------------------===//
 ///
 /// \file
-/// Keeps a number of calls in flight to an endpoint directly and through a daemon,
-/// in turn, and prints requests a second and latencies of both, and their ratio.
-/// utils/bench/hop starts what it needs.
+/// Keeps a number of calls in flight to an endpoint, alternately directly and through a
+/// daemon. Prints the requests per second and the latencies of both, and their ratio.
+/// The script utils/bench/hop starts the required processes.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -17,11 +17,11 @@
 
 DEFINE_string(direct, "", "URL of the endpoint.");
 DEFINE_string(daemon, "", "URL of the pipeline at the daemon.");
-DEFINE_int32(threads, 3, "Threads that call.");
-DEFINE_int32(in_flight, 8, "Calls in flight for each thread.");
-DEFINE_int32(calls, 6000, "Calls of each thread in a round.");
-DEFINE_int32(rounds, 3, "Rounds, each direct and through the daemon.");
-DEFINE_bool(hold, false, "Only send the calls in flight and wait until they end.");
+DEFINE_int32(threads, 3, "Number of calling threads.");
+DEFINE_int32(in_flight, 8, "Calls in flight per thread.");
+DEFINE_int32(calls, 6000, "Calls per thread and round.");
+DEFINE_int32(rounds, 3, "Number of rounds, each direct and through the daemon.");
+DEFINE_bool(hold, false, "Only send the calls in flight and wait for their completion.");
 
 namespace {
 
@@ -34,12 +34,12 @@
     int failed = 0;
 };
 
-/// One thread's calls.
+/// The calls of one thread.
 class Caller
 {
 public:
     Caller(const std::string &url, int calls)
-        : m_left(calls)
+        : m_remaining(calls)
     {
         m_call.method = "POST";
         m_call.url = url;
@@ -50,7 +50,7 @@
     }
     void run()
     {
-        for (int i = 0; i < FLAGS_in_flight && m_left > 0; ++i) {
+        for (int i = 0; i < FLAGS_in_flight && m_remaining > 0; ++i) {
             sendNext();
         }
         while (m_open > 0) {
@@ -63,14 +63,14 @@
 private:
     void sendNext()
     {
-        --m_left;
+        --m_remaining;
         ++m_open;
         const TimePoint sentAt = m_clock.now();
         m_client.send(m_call, [this, sentAt](const HttpResult &result) {
             --m_open;
             m_failed += result.status == 200 ? 0 : 1;
             m_millis.push_back(toMilliseconds(m_clock.now() - sentAt));
-            if (m_left > 0) {
+            if (m_remaining > 0) {
                 sendNext();
             }
         });
@@ -79,7 +79,7 @@
     SystemClock m_clock;
     HttpClient m_client;
     HttpCall m_call;
-    int m_left;
+    int m_remaining;
     int m_open = 0;
     int m_failed = 0;
     std::vector<double> m_millis;
--- a/utils/bench/kernel.cpp
+++ b/utils/bench/kernel.cpp
@@ -1,8 +1,8 @@
-//===- kernel.cpp - Cost of a request's decisions -------------------------===//
+//===- kernel.cpp - Microbenchmarks of the kernel -------------------------===//
 ///
 /// \file
-/// The kernel's time for one whole request of two stages, and for one division of
-/// a pool's slots, by the number of endpoints in its pools and of client accounts.
+/// Measures the kernel's time for one complete request of two stages, and for one update
+/// of a pool's slot shares, by the number of endpoints and of client accounts.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -45,7 +45,7 @@
     return resources;
 }
 
-/// Answers every call that the machine asked for; gives how many.
+/// Answers every stage call that the machine requested; returns their number.
 int answerCalls(RequestMachine &machine, const Snapshot &snapshot)
 {
     int answered = 0;
@@ -83,8 +83,8 @@
     }
 }
 
-/// Dividing a pool's slots anew, as a worker does at most every 10 ms while
-/// requests wait, with demand of every account.
+/// Updates a pool's slot shares, as a worker does at most every 10 ms while requests are
+/// queued, with demand from every account.
 void divideSlots(benchmark::State &state)
 {
     const auto snapshot =
--- a/utils/bench/policies.cpp
+++ b/utils/bench/policies.cpp
@@ -1,9 +1,9 @@
-//===- policies.cpp - Decisions under load, against baselines -------------===//
+//===- policies.cpp - Benchmark of policies against baselines -------------===//
 ///
 /// \file
-/// Plays the same load and faults to the product's policies and to simpler ones,
-/// on a virtual clock with fixed seeds: admission, shares among accounts, and
-/// routing. Nine daemons in three data centres stand before 33 endpoints.
+/// Runs the same load and faults with the product's policies and with simpler ones, on a
+/// virtual clock with fixed seeds: admission, shares of accounts, and routing. Nine
+/// daemons in three data centres serve 33 endpoints.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -13,8 +13,8 @@
 
 #include <array>
 
-DEFINE_int32(seeds, 3, "Runs of each row; the figures are their means.");
-DEFINE_string(only, "", "admission, shares or routing; all where empty.");
+DEFINE_int32(seeds, 3, "Number of runs per row; the output shows their mean.");
+DEFINE_string(only, "", "admission, shares or routing; all if empty.");
 
 namespace {
 
@@ -23,12 +23,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What the engines, the narrowest pool, can serve: 18 x 4 slots / 120 ms.
+/// Requests per second that the engines, the bottleneck pool, can serve: 18 x 4 slots / 120 ms.
 constexpr double capacity = 600;
-/// A fixed limit that fits the product's own use at that rate: requests for a daemon.
+/// Fixed limit of requests per daemon that matches the product's concurrency at that rate.
 constexpr std::size_t fixedLimit = 24;
 
-/// The means of what \p run gives over the seeds.
+/// Returns the mean results of \p run over the seeds.
 template <typename Run>
 auto meansOf(const Run &run)
 {
@@ -56,7 +56,7 @@
     static constexpr bool sharesSlots = false;
 };
 
-struct OrdersByUseOnly : AllGuards
+struct OrdersByUsageOnly : AllGuards
 {
     static constexpr bool sharesSlots = false;
 };
@@ -83,7 +83,7 @@
     return setup;
 }
 
-/// Each of the five accounts sends a fifth of \p perSecond.
+/// Adds a load of \p perSecond requests per second, evenly spread over the five accounts.
 template <typename World>
 void addEvenLoad(World &world, double perSecond, Duration from, Duration until, int prompts = 1)
 {
@@ -94,24 +94,24 @@
 
 // Admission -------------------------------------------------------------------
 
-enum class Trouble { None, Burst, SlowStage, DeadStage, LongDeadStage };
+enum class Disturbance { None, Burst, SlowStage, DeadStage, LongDeadStage };
 
 template <typename World>
-void addTrouble(World &world, Trouble trouble)
+void addDisturbance(World &world, Disturbance disturbance)
 {
-    switch (trouble) {
-    case Trouble::None:
+    switch (disturbance) {
+    case Disturbance::None:
         return;
-    case Trouble::Burst:
+    case Disturbance::Burst:
         addEvenLoad(world, 3 * capacity, seconds(5), seconds(6));
         return;
-    case Trouble::SlowStage:
+    case Disturbance::SlowStage:
         world.changeAt(seconds(5), "rerankers", 5, [](auto &at) { at.setSlowFactor(10); });
         world.changeAt(seconds(8), "rerankers", 5, [](auto &at) { at.setSlowFactor(1); });
         return;
-    case Trouble::DeadStage:
-    case Trouble::LongDeadStage:
-        const seconds end(trouble == Trouble::DeadStage ? 7 : 12);
+    case Disturbance::DeadStage:
+    case Disturbance::LongDeadStage:
+        const seconds end(disturbance == Disturbance::DeadStage ? 7 : 12);
         world.changeAt(seconds(5), "rerankers", 5, [](auto &at) { at.kill(); });
         world.changeAt(end, "rerankers", 5, [](auto &at) { at.start(); });
         return;
@@ -119,14 +119,14 @@
 }
 
 template <GuardPolicy G>
-std::array<double, 10> playAdmission(Trouble trouble, std::size_t limit, int seed)
+std::array<double, 10> runAdmission(Disturbance disturbance, std::size_t limit, int seed)
 {
     LoadSetup setup = standardSetup(seed);
     setup.limits.maxRequests = limit;
     LoadWorld<G> world(setup);
-    const double base = trouble == Trouble::SlowStage ? 0.9 : 0.6;
+    const double base = disturbance == Disturbance::SlowStage ? 0.9 : 0.6;
     addEvenLoad(world, base * capacity, seconds(0), seconds(12));
-    addTrouble(world, trouble);
+    addDisturbance(world, disturbance);
     world.run(seconds(4));
     world.report().restart();
     world.run(seconds(12));
@@ -145,9 +145,9 @@
 }
 
 template <GuardPolicy G>
-void admission(const char *policy, Trouble trouble, std::size_t limit)
+void admission(const char *policy, Disturbance disturbance, std::size_t limit)
 {
-    const auto row = meansOf([&](int seed) { return playAdmission<G>(trouble, limit, seed); });
+    const auto row = meansOf([&](int seed) { return runAdmission<G>(disturbance, limit, seed); });
     fmt::print("  {:<13} attained {:>6.2f}%  goodput {:>6.1f}/s  not run {:>6.1f}  ran for nothing "
                "{:>6.1f}  wasted s {:>5.1f} {:>5.1f} {:>5.1f} {:>5.1f}  refused after p50 {:>6.1f} "
                "p99 {:>6.1f} ms\n",
@@ -157,18 +157,18 @@
 
 void compareAdmission()
 {
-    const std::pair<const char *, Trouble> troubles[] = {
-        {"steady, 60% of capacity", Trouble::None},
-        {"a burst of three times the capacity on top for 1 s", Trouble::Burst},
-        {"90%, rerank tenfold slow for 3 s", Trouble::SlowStage},
-        {"rerank down for 2 s", Trouble::DeadStage},
-        {"rerank down for 7 s", Trouble::LongDeadStage}};
-    for (const auto &[name, trouble] : troubles) {
+    const std::pair<const char *, Disturbance> disturbances[] = {
+        {"steady, 60% of capacity", Disturbance::None},
+        {"a burst of three times the capacity on top for 1 s", Disturbance::Burst},
+        {"90%, rerank tenfold slow for 3 s", Disturbance::SlowStage},
+        {"rerank down for 2 s", Disturbance::DeadStage},
+        {"rerank down for 7 s", Disturbance::LongDeadStage}};
+    for (const auto &[name, disturbance] : disturbances) {
         fmt::print("admission: {}\n", name);
         const std::size_t unlimited = RequestLimits{}.maxRequests;
-        admission<AllGuards>("harelink", trouble, unlimited);
-        admission<NoAdmission>("queue only", trouble, unlimited);
-        admission<NoAdmission>("fixed limit", trouble, fixedLimit);
+        admission<AllGuards>("harelink", disturbance, unlimited);
+        admission<NoAdmission>("queue only", disturbance, unlimited);
+        admission<NoAdmission>("fixed limit", disturbance, fixedLimit);
     }
 }
 
@@ -177,7 +177,7 @@
 enum class Flood { OneDaemon, Everywhere, TwoAccounts };
 
 template <GuardPolicy G>
-std::array<double, 4> playShares(Flood flood, bool exchanges, int seed)
+std::array<double, 4> runShares(Flood flood, bool exchanges, int seed)
 {
     LoadSetup setup = standardSetup(seed);
     setup.exchangesUse = exchanges;
@@ -201,7 +201,7 @@
         victimsSent += accounts.at(victim).sent;
         victimsAttained += accounts.at(victim).attained;
     }
-    // Those with more demand than their share are to get the same.
+    // Accounts with more demand than their share should receive equal shares.
     std::vector<double> backlogged = {accounts.at("a").seconds};
     if (flood == Flood::TwoAccounts) {
         backlogged.push_back(accounts.at("e").seconds);
@@ -214,7 +214,7 @@
 template <GuardPolicy G>
 void shares(const char *policy, Flood flood, bool exchanges)
 {
-    const auto row = meansOf([&](int seed) { return playShares<G>(flood, exchanges, seed); });
+    const auto row = meansOf([&](int seed) { return runShares<G>(flood, exchanges, seed); });
     fmt::print("  {:<23} victims attained {:>6.2f}%  flooder completed {:>6.1f}/s  Jain {:.3f}  "
                "engines used {:>5.1f}%\n",
                policy, row[0], row[1], row[2], row[3]);
@@ -232,7 +232,7 @@
         fmt::print("shares: {}\n", name);
         shares<AllGuards>("harelink", flood, true);
         shares<AllGuards>("daemons do not exchange", flood, false);
-        shares<OrdersByUseOnly>("by use, no slots", flood, true);
+        shares<OrdersByUsageOnly>("by use, no slots", flood, true);
         shares<FirstComeFirstServed>("first come first served", flood, false);
     }
 }
@@ -267,7 +267,7 @@
     }
 }
 
-std::array<double, 7> playRouting(const std::string &policy, Fault fault, int seed)
+std::array<double, 7> runRouting(const std::string &policy, Fault fault, int seed)
 {
     LoadSetup setup = standardSetup(seed);
     setup.routing = policy;
@@ -302,7 +302,7 @@
 
 void routing(const std::string &policy, Fault fault)
 {
-    const auto row = meansOf([&](int seed) { return playRouting(policy, fault, seed); });
+    const auto row = meansOf([&](int seed) { return runRouting(policy, fault, seed); });
     fmt::print("  {:<16} attained {:>6.2f}%  p50 {:>6.1f} p99 {:>6.1f} ms  engine s a request "
                "{:.4f}  sends a stage {:.3f}  prompt hits {:>5.1f}%  calls to engines-0 after the "
                "fault {:>6.1f}\n",
--- a/utils/standin/endpoint.cpp
+++ b/utils/standin/endpoint.cpp
@@ -1,21 +1,21 @@
 //===- endpoint.cpp - Stand-in for an endpoint ----------------------------===//
 ///
 /// \file
-/// A model engine, a stage pool or a plain service, by --kind. It works on
+/// A model engine, a stage pool or a plain service, selected by --kind. It runs
 /// --slots calls at a time, queues as many more and refuses the rest with 429
-/// before running them. Its answers repeat the caller's "nonce", so that a
-/// mixed-up answer shows. Switches:
+/// before running them. Its answers echo the caller's "nonce", so that a
+/// misdirected answer is detected. Fault injection:
 ///
 ///   POST /control  {"slowFactor": F, "failing": bool, "hanging": bool,
 ///                   "refusing": bool, "breakAfterTokens": N, "rateLimit": "R",
 ///                   "retryAfter": "S", "leaving": bool, "coldMs": N}
-///     (rateLimit and retryAfter are sent as they are; empty for none)
-///   GET  /status    tells in a field how long it stays cold
+///     (rateLimit and retryAfter are sent verbatim; empty for none)
+///   GET  /status    reports in a header how long it stays cold
 ///   GET  /counters  runs, runs per idempotency key, prefix hits, broken streams
 ///
-/// A model engine streams where it is asked to: token N of an answer is " wN-NONCE".
-/// Where the prompt ends in such tokens, the stream goes on behind the last of them,
-/// as a model goes on with any text.
+/// A model engine streams its answer on request: token N of an answer is " wN-NONCE".
+/// If the prompt ends in such tokens, the stream continues after the last of them, as a
+/// model continues any text.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -35,20 +35,20 @@
 #include <list>
 #include <mutex>
 
-DEFINE_string(address, "127.0.0.1:0", "Where to listen.");
+DEFINE_string(address, "127.0.0.1:0", "Address to listen on.");
 DEFINE_string(kind, "stage-pool", "model-engine, stage-pool or plain-service.");
-DEFINE_int32(slots, 8, "Calls worked on at a time.");
-DEFINE_double(base_ms, 5, "Time of a call without its size.");
-DEFINE_double(token_ms, 0.1, "Time of one token of a model engine.");
-DEFINE_string(crash_on, "", "Ends at once when it begins to run a body with this text.");
-DEFINE_int32(prefixes, 32, "Prompt prefixes that a model engine keeps.");
+DEFINE_int32(slots, 8, "Maximum number of running calls.");
+DEFINE_double(base_ms, 5, "Base time of a call in milliseconds.");
+DEFINE_double(token_ms, 0.1, "Time per token of a model engine in milliseconds.");
+DEFINE_string(crash_on, "", "Exit at once on starting to run a body that contains this text.");
+DEFINE_int32(prefixes, 32, "Capacity of a model engine's prompt prefix cache.");
 
 namespace {
 
 using namespace harelink;
 
 constexpr std::size_t prefixBytes = 256;
-/// Part of the base time that a cached prefix saves.
+/// Fraction of the base time that a cached prefix saves.
 constexpr double prefixSaving = 0.6;
 
 struct Switches
@@ -57,18 +57,18 @@
     bool failing = false;
     bool hanging = false;
     bool refusing = false;
-    int breakAfterTokens = 0;                        ///< Ends each stream early; 0 for never.
-    std::string rateLimit;                           ///< Stated in all answers; empty for none.
-    std::string retryAfter;                          ///< Stated in refusals; empty for none.
-    bool leaving = false;                            ///< Announced in all answers.
-    std::chrono::steady_clock::time_point coldUntil; ///< As its status tells.
+    int breakAfterTokens = 0; ///< Breaks each stream after this number of tokens; 0 for never.
+    std::string rateLimit;    ///< Announced in all answers; empty for none.
+    std::string retryAfter;   ///< Sent in refusals; empty for none.
+    bool leaving = false;     ///< Announced in all answers.
+    std::chrono::steady_clock::time_point coldUntil; ///< Reported by /status.
 };
 
-/// The prompt prefixes that were used last.
+/// LRU cache of prompt prefixes.
 class PrefixCache
 {
 public:
-    /// Whether \p prefix was there; it is now.
+    /// Adds \p prefix as the most recent one; returns whether it was cached.
     bool touch(std::uint64_t prefix)
     {
         const auto found = std::find(m_recent.begin(), m_recent.end(), prefix);
@@ -87,7 +87,7 @@
     std::list<std::uint64_t> m_recent;
 };
 
-/// The exit status of a stand-in that a request has ended.
+/// Exit status after a request that matches --crash_on.
 constexpr int crashStatus = 70;
 
 struct Job
@@ -96,19 +96,19 @@
     Responder responder;
 };
 
-/// An answer that is sent token by token.
+/// A streamed answer.
 struct Stream
 {
     Responder responder;
     HttpReply head;
     std::string nonce;
-    int next = 0; ///< Token to send.
-    int end = 0;  ///< Token before which the stream ends.
+    int next = 0; ///< Index of the next token to send.
+    int end = 0;  ///< Index of the token before which the stream ends.
     bool whole = true;
 };
 
-/// The word in quotes behind the last \p mark in \p text.
-std::string quotedBehind(const std::string &text, std::string_view mark)
+/// Returns the text between the last \p mark in \p text and the next quote.
+std::string quotedTextAfter(const std::string &text, std::string_view mark)
 {
     const std::size_t at = text.rfind(mark);
     if (at == std::string::npos) {
@@ -118,8 +118,8 @@
     return text.substr(begin, text.find('"', begin) - begin);
 }
 
-/// How many tokens of its answer a prompt already ends in.
-int tokensIn(const std::string &prompt, const std::string &nonce)
+/// Returns the number of tokens of the answer that \p prompt already contains.
+int countTokens(const std::string &prompt, const std::string &nonce)
 {
     int count = 0;
     while (prompt.find(fmt::format(" w{}-{}", count, nonce)) != std::string::npos) {
@@ -149,7 +149,7 @@
             return;
         }
         if (m_switches.hanging) {
-            m_held.push_back(responder);
+            m_hangingCalls.push_back(responder);
             return;
         }
         if (m_switches.failing) {
@@ -251,7 +251,7 @@
             if (!key.empty()) {
                 ++m_runsByKey[key];
             }
-            const double millis = timeOf(job.request) * m_switches.slowFactor;
+            const double millis = callMillis(job.request) * m_switches.slowFactor;
             const auto delay = std::chrono::duration_cast<Duration>(
                 std::chrono::duration<double, std::milli>(millis));
             m_server->runAfter(delay,
@@ -259,7 +259,7 @@
         }
     }
 
-    double timeOf(const HttpRequest &request)
+    double callMillis(const HttpRequest &request)
     {
         if (FLAGS_kind != "model-engine") {
             return FLAGS_base_ms;
@@ -268,7 +268,7 @@
         const std::string prompt = body.value("prompt", "");
         const bool hit = m_prefixes.touch(hash64(prompt.substr(0, prefixBytes)));
         m_prefixHits += hit ? 1 : 0;
-        // The tokens of a stream take their time one by one.
+        // The tokens of a stream are delayed one by one in streamNext().
         const int tokens = body.value("stream", false) ? 0 : body.value("max_tokens", 0);
         return FLAGS_base_ms * (hit ? 1 - prefixSaving : 1) + FLAGS_token_ms * tokens;
     }
@@ -295,8 +295,8 @@
         stream->responder = job.responder;
         stream->head = reply(job.request, 200, {});
         stream->head.contentType = "text/event-stream";
-        stream->nonce = quotedBehind(prompt, "\"nonce\":\"");
-        stream->next = tokensIn(prompt, stream->nonce);
+        stream->nonce = quotedTextAfter(prompt, "\"nonce\":\"");
+        stream->next = countTokens(prompt, stream->nonce);
         stream->end = stream->next + body.value("max_tokens", 0);
         if (m_switches.breakAfterTokens > 0) {
             const int breakAt = stream->next + m_switches.breakAfterTokens;
@@ -354,7 +354,7 @@
     Switches m_switches;
     PrefixCache m_prefixes;
     std::deque<Job> m_queue;
-    std::vector<Responder> m_held;
+    std::vector<Responder> m_hangingCalls;
     int m_active = 0;
     std::uint64_t m_runs = 0;
     std::uint64_t m_refused = 0;
--- a/utils/standin/load.cpp
+++ b/utils/standin/load.cpp
@@ -1,12 +1,12 @@
-//===- load.cpp - Sends requests and checks every answer ------------------===//
+//===- load.cpp - Load generator that checks every answer -----------------===//
 ///
 /// \file
-/// Sends a bounded number of requests to several daemons, as the balancer would
-/// spread them, and judges each answer: is it whole, in time, and the answer to
-/// this very request? Prints one JSON line of counts.
+/// Sends a fixed number of requests to several daemons, spread as by a load balancer.
+/// Checks whether each answer is complete, in time, and belongs to its request. Prints
+/// one JSON line of counts.
 ///
-/// A caller that got no answer at all sends a request with an idempotency key
-/// again, to another daemon, as callers do.
+/// A request without any answer is retried at another daemon, with the same
+/// idempotency key if it has one, as callers do.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,25 +20,26 @@
 #include <algorithm>
 #include <sstream>
 
-DEFINE_string(daemons, "", "Callers' addresses of the daemons, with commas between.");
-DEFINE_string(accounts, "", "Client accounts, with commas between.");
-DEFINE_string(tokens, "", "Their bearer tokens, in the same order; may be empty.");
-DEFINE_string(pipelines, "", "Repeatable pipelines, with commas between.");
-DEFINE_string(once, "", "Pipelines that may not be repeated, with commas between.");
-DEFINE_int32(count, 100, "Requests to send.");
-DEFINE_int32(per_second, 100, "Requests to send each second.");
-DEFINE_int32(deadline_ms, 4000, "The deadline of each.");
-DEFINE_bool(stream, false, "Ask for the answers to repeatable pipelines as they come.");
-DEFINE_string(run, "run", "Told apart from other runs by this, in keys and nonces.");
+DEFINE_string(daemons, "", "Comma-separated addresses of the daemons for callers.");
+DEFINE_string(accounts, "", "Comma-separated client accounts.");
+DEFINE_string(tokens, "",
+              "Comma-separated bearer tokens of the accounts, in the same order; may be empty.");
+DEFINE_string(pipelines, "", "Comma-separated repeatable pipelines.");
+DEFINE_string(once, "", "Comma-separated pipelines that may not be repeated.");
+DEFINE_int32(count, 100, "Number of requests to send.");
+DEFINE_int32(per_second, 100, "Requests per second.");
+DEFINE_int32(deadline_ms, 4000, "Deadline of each request in milliseconds.");
+DEFINE_bool(stream, false, "Request streamed answers from repeatable pipelines.");
+DEFINE_string(run, "run", "Name of this run, a prefix of its keys and nonces.");
 
 namespace {
 
 using namespace harelink;
 
-constexpr int mostTries = 3;
-constexpr int tokensWanted = 32;
-/// How long after the deadline an answer still counts as an answer.
-constexpr std::chrono::milliseconds lateAnswerAllowance{2000};
+constexpr int maxAttempts = 3;
+constexpr int tokenCount = 32;
+/// Time after the deadline for which an answer is still accepted.
+constexpr std::chrono::milliseconds lateAnswerPeriod{2000};
 
 std::vector<std::string> split(const std::string &text)
 {
@@ -59,15 +60,15 @@
     int notRun = 0;
     int incomplete = 0;
     int unknown = 0;
-    int unanswered = 0; ///< The connection broke: nothing was said.
+    int unanswered = 0; ///< The connection broke without an answer.
     int mixedUp = 0;
     int refusedByRule = 0; ///< 4xx other than 409 and 429.
-    int streams = 0;       ///< Answers that came in parts.
-    int wrongTokens = 0;   ///< Streams with a token twice, missing or of another request.
+    int streams = 0;       ///< Streamed answers.
+    int wrongTokens = 0;   ///< Streams with a duplicate, missing or foreign token.
     int endless = 0;       ///< Streams without a closing event.
 };
 
-/// What one account's requests cost at one stage.
+/// Cost of one account's requests at one stage.
 struct StageTotal
 {
     double cost = 0;
@@ -144,26 +145,26 @@
         if (FLAGS_stream && !once) {
             call.headers.emplace_back("Accept: text/event-stream");
         }
-        call.body = nlohmann::json{{"nonce", nonce}, {"maxTokens", tokensWanted}}.dump();
-        call.timeout = std::chrono::milliseconds(FLAGS_deadline_ms) + lateAnswerAllowance;
+        call.body = nlohmann::json{{"nonce", nonce}, {"maxTokens", tokenCount}}.dump();
+        call.timeout = std::chrono::milliseconds(FLAGS_deadline_ms) + lateAnswerPeriod;
         call.resendable = false;
         const TimePoint sentAt = m_clock.now();
         m_client.send(call, [=, this](const HttpResult &result) {
             --m_open;
-            // Whoever got no answer may ask again only where that does no harm.
-            if (result.status == 0 && attempt < mostTries) {
+            // Retrying is safe: the pipeline is repeatable or the request has a key.
+            if (result.status == 0 && attempt < maxAttempts) {
                 send(number, attempt + 1);
                 return;
             }
-            judge(result, nonce, m_accounts[account], m_clock.now() - sentAt);
+            checkResult(result, nonce, m_accounts[account], m_clock.now() - sentAt);
         });
     }
 
-    void judge(const HttpResult &result, const std::string &nonce, const std::string &account,
-               Duration elapsed)
+    void checkResult(const HttpResult &result, const std::string &nonce, const std::string &account,
+                     Duration elapsed)
     {
         if (result.status != 0 && result.header("content-type") == eventStreamType) {
-            judgeStream(result, nonce, elapsed);
+            checkStream(result, nonce, elapsed);
             return;
         }
         const std::string outcome = result.header("harelink-outcome");
@@ -172,7 +173,7 @@
             return;
         }
         if (outcome == "completed") {
-            judgeAnswer(result, nonce, elapsed);
+            checkAnswer(result, nonce, elapsed);
             addStages(result.header("harelink-stages"), account);
         } else if (outcome == "not-run") {
             const bool byRule = result.status < 500 && result.status != 429;
@@ -184,16 +185,16 @@
         }
     }
 
-    /// Each token must come once, in order and for this request, and the last event
-    /// must say what came of it.
-    void judgeStream(const HttpResult &result, const std::string &nonce, Duration elapsed)
+    /// Checks that each token arrives once, in order and for this request, and that the
+    /// last event reports the outcome.
+    void checkStream(const HttpResult &result, const std::string &nonce, Duration elapsed)
     {
         ++m_tally.streams;
         EventReader reader;
         reader.feed(result.body);
         std::string outcome;
         int tokens = 0;
-        bool right = true;
+        bool isCorrect = true;
         while (const std::optional<std::string> data = reader.next()) {
             const nlohmann::json event = nlohmann::json::parse(*data, nullptr, false);
             if (event.contains("outcome")) {
@@ -201,26 +202,26 @@
                 continue;
             }
             const std::string expected = fmt::format(" w{}-{}", tokens, nonce);
-            right =
-                right && event.value("token", -1) == tokens && event.value("text", "") == expected;
+            isCorrect = isCorrect && event.value("token", -1) == tokens
+                        && event.value("text", "") == expected;
             ++tokens;
         }
         m_tally.endless += outcome.empty() ? 1 : 0;
-        m_tally.wrongTokens += right ? 0 : 1;
+        m_tally.wrongTokens += isCorrect ? 0 : 1;
         if (outcome == "completed") {
             ++m_tally.completed;
-            m_tally.wrongTokens += tokens == tokensWanted ? 0 : 1;
+            m_tally.wrongTokens += tokens == tokenCount ? 0 : 1;
             const bool inTime = elapsed <= std::chrono::milliseconds(FLAGS_deadline_ms);
-            m_tally.attained += right && inTime ? 1 : 0;
+            m_tally.attained += isCorrect && inTime ? 1 : 0;
             return;
         }
         ++(outcome == "incomplete" ? m_tally.incomplete : m_tally.unknown);
     }
 
-    void judgeAnswer(const HttpResult &result, const std::string &nonce, Duration elapsed)
+    void checkAnswer(const HttpResult &result, const std::string &nonce, Duration elapsed)
     {
         ++m_tally.completed;
-        // The nonce stands between quotes, escaped within a completion's text.
+        // The nonce is enclosed in quotes, which are escaped within a completion's text.
         const bool own = result.body.find('"' + nonce + '"') != std::string::npos
                          || result.body.find('"' + nonce + '\\') != std::string::npos;
         m_tally.mixedUp += own ? 0 : 1;
@@ -228,7 +229,7 @@
         m_tally.attained += own && inTime ? 1 : 0;
     }
 
-    /// Reads "encode;dur=1.5;cost=0.1;sends=1, rerank;...".
+    /// Parses "encode;dur=1.5;cost=0.1;sends=1, rerank;...".
     void addStages(const std::string &header, const std::string &account)
     {
         std::stringstream stages(header);
--- a/utils/standin/platform.cpp
+++ b/utils/standin/platform.cpp
@@ -1,15 +1,15 @@
 //===- platform.cpp - Stand-in for the platform ---------------------------===//
 ///
 /// \file
-/// The object API (see harelink/Adapters/platformclient.h) with switches:
+/// The object API (see harelink/Adapters/platformclient.h) with fault injection:
 ///
 ///   POST /control  {"outage": bool, "slowMs": N, "loseAnswers": P,
 ///                   "applyLateMs": N, "callsPerSecond": N, "staleHostsMs": N}
 ///   GET  /counters
 ///   GET  /v1/hosts; PUT /v1/hosts/NAME {"dataCentre", "peers", "state"}
 ///
-/// "loseAnswers" carries a write out and then answers after any client's
-/// patience; "applyLateMs" carries a write out only after the client gave up.
+/// "loseAnswers" executes a call, but answers only after any client's timeout;
+/// "applyLateMs" executes a write after this delay, and its answer is lost likewise.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 #include <deque>
 #include <mutex>
 
-DEFINE_string(address, "127.0.0.1:0", "Where to listen.");
+DEFINE_string(address, "127.0.0.1:0", "Address to listen on.");
 
 namespace {
 
@@ -34,8 +34,8 @@
 using namespace harelink::standin;
 using std::chrono::milliseconds;
 
-/// How long a lost answer is held; longer than clients wait.
-constexpr milliseconds lostAnswerHold{20'000};
+/// Delay of a lost answer; exceeds the timeout of all clients.
+constexpr milliseconds lostAnswerDelay{20'000};
 constexpr milliseconds watchPoll{5};
 
 struct Switches
@@ -103,7 +103,7 @@
             responder(counters());
             return;
         }
-        if (m_switches.outage || !underRate()) {
+        if (m_switches.outage || !withinRateLimit()) {
             ++m_counters.refused;
             responder(errorReply(503, "out of service"));
             return;
@@ -125,15 +125,15 @@
     }
 
 private:
-    /// A call at a time is counted against the second that it came in.
-    bool underRate()
+    /// Counts a call; returns whether the calls of the last second are within the limit.
+    bool withinRateLimit()
     {
         const auto now = std::chrono::steady_clock::now();
-        while (!m_recent.empty() && now - m_recent.front() > std::chrono::seconds(1)) {
-            m_recent.pop_front();
+        while (!m_recentCalls.empty() && now - m_recentCalls.front() > std::chrono::seconds(1)) {
+            m_recentCalls.pop_front();
         }
-        m_recent.push_back(now);
-        return static_cast<int>(m_recent.size()) <= m_switches.callsPerSecond;
+        m_recentCalls.push_back(now);
+        return static_cast<int>(m_recentCalls.size()) <= m_switches.callsPerSecond;
     }
 
     HttpReply control(const HttpRequest &request)
@@ -173,15 +173,15 @@
             }
             body["host"] = parts[2];
             m_hosts[parts[2]] = body;
-            // What the list shows lags behind by the switch.
+            // The visible list lags behind by staleHosts.
             m_server->runAfter(m_switches.staleHosts, [this, name = parts[2], body] {
                 const std::lock_guard<std::mutex> guard(m_mutex);
-                m_shownHosts[name] = body;
+                m_visibleHosts[name] = body;
             });
             return jsonReply(200, {{"ok", true}});
         }
         nlohmann::json list = nlohmann::json::array();
-        for (const auto &[name, host] : m_shownHosts) {
+        for (const auto &[name, host] : m_visibleHosts) {
             list.push_back(host);
         }
         return jsonReply(200, {{"hosts", list}});
@@ -227,7 +227,8 @@
         return jsonReply(200, {{"version", m_store.version()}, {"objects", list}});
     }
 
-    /// Carries a call out now or late, and answers now, slowly or in effect never.
+    /// Executes a call now or late, and answers at once, after a delay, or after all clients
+    /// have given up.
     void serve(const HttpRequest &request, const std::vector<std::string> &parts,
                const Responder &responder)
     {
@@ -236,17 +237,17 @@
             ++m_counters.lost;
             m_server->runAfter(m_switches.applyLate, [this, request, parts] {
                 const std::lock_guard<std::mutex> guard(m_mutex);
-                carryOut(request, parts);
+                execute(request, parts);
             });
-            m_server->runAfter(lostAnswerHold,
+            m_server->runAfter(lostAnswerDelay,
                                [responder] { responder(errorReply(503, "too late")); });
             return;
         }
-        HttpReply reply = carryOut(request, parts);
+        HttpReply reply = execute(request, parts);
         milliseconds delay = m_switches.slow;
         if (m_random.chance(m_switches.loseAnswers)) {
             ++m_counters.lost;
-            delay = lostAnswerHold;
+            delay = lostAnswerDelay;
         }
         if (delay.count() == 0) {
             responder(std::move(reply));
@@ -257,7 +258,7 @@
         });
     }
 
-    HttpReply carryOut(const HttpRequest &request, const std::vector<std::string> &parts)
+    HttpReply execute(const HttpRequest &request, const std::vector<std::string> &parts)
     {
         if (parts.size() == 2 && request.method == "GET") {
             ++m_counters.reads;
@@ -285,17 +286,17 @@
         if (value.size() > maxObjectBytes) {
             return errorReply(413, "the value is too large");
         }
-        return written(parts, m_store.put(parts[2], parts[3], readVersion(request, "ifVersion"),
-                                          std::move(value)));
+        return writeReply(parts, m_store.put(parts[2], parts[3], readVersion(request, "ifVersion"),
+                                             std::move(value)));
     }
 
     HttpReply remove(const HttpRequest &request, const std::vector<std::string> &parts)
     {
-        return written(parts,
-                       m_store.remove(parts[2], parts[3], readVersion(request, "ifVersion")));
+        return writeReply(parts,
+                          m_store.remove(parts[2], parts[3], readVersion(request, "ifVersion")));
     }
 
-    HttpReply written(const std::vector<std::string> &parts, std::optional<Version> version)
+    HttpReply writeReply(const std::vector<std::string> &parts, std::optional<Version> version)
     {
         if (version) {
             return jsonReply(200, {{"version", *version}});
@@ -312,9 +313,9 @@
     Switches m_switches;
     Counters m_counters;
     Random m_random{1};
-    std::deque<TimePoint> m_recent;
+    std::deque<TimePoint> m_recentCalls;
     std::map<std::string, nlohmann::json> m_hosts;
-    std::map<std::string, nlohmann::json> m_shownHosts;
+    std::map<std::string, nlohmann::json> m_visibleHosts;
 };
 
 } // namespace
--- a/utils/standin/platformstore.cpp
+++ b/utils/standin/platformstore.cpp
@@ -1,4 +1,4 @@
-//===- platformstore.cpp - Objects of the platform's stand-in -------------===//
+//===- platformstore.cpp - Object store of the stand-in platform ----------===//
 
 #include "platformstore.h"
 
@@ -42,7 +42,7 @@
     }
     PlatformObject object{kind, name, ++m_version, false, std::move(value)};
     m_objects[{kind, name}] = object;
-    remember(std::move(object));
+    appendChange(std::move(object));
     return m_version;
 }
 
@@ -54,15 +54,15 @@
         return std::nullopt;
     }
     m_objects.erase({kind, name});
-    remember({kind, name, ++m_version, true, std::string()});
+    appendChange({kind, name, ++m_version, true, std::string()});
     return m_version;
 }
 
-void PlatformStore::remember(PlatformObject change)
+void PlatformStore::appendChange(PlatformObject change)
 {
     m_changes.push_back(std::move(change));
-    if (m_changes.size() > m_keptEvents) {
-        m_forgotten = m_changes.front().version;
+    if (m_changes.size() > m_historySize) {
+        m_droppedUpTo = m_changes.front().version;
         m_changes.pop_front();
     }
 }
@@ -81,7 +81,7 @@
 std::optional<std::vector<PlatformObject>>
 PlatformStore::changes(const std::set<std::string> &kinds, Version since) const
 {
-    if (since < m_forgotten) {
+    if (since < m_droppedUpTo) {
         return std::nullopt;
     }
     std::map<Key, PlatformObject> last;
--- a/utils/standin/platformstore.h
+++ b/utils/standin/platformstore.h
@@ -1,7 +1,7 @@
-//===- platformstore.h - Objects of the platform's stand-in -----*- C++ -*-===//
+//===- platformstore.h - Object store of the stand-in platform --*- C++ -*-===//
 ///
 /// \file
-/// Versioned objects in memory, with the history that watches read.
+/// Versioned objects in memory, with a change history for watches.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,46 +21,48 @@
 
 namespace harelink::standin {
 
-/// The kinds of a list such as "Pool,Endpoint".
+/// Splits a list of kinds such as "Pool,Endpoint".
 [[nodiscard]] std::set<std::string> splitKinds(const std::string &text);
 
-/// The objects. Not thread-safe.
+/// In-memory object store. Not thread-safe.
 class PlatformStore
 {
 public:
-    /// \param keptEvents how many changes a watch can look back on.
-    explicit PlatformStore(std::size_t keptEvents = 10'000)
-        : m_keptEvents(keptEvents)
+    /// \param historySize number of changes kept for watches.
+    explicit PlatformStore(std::size_t historySize = 10'000)
+        : m_historySize(historySize)
     {
     }
 
-    /// The object, if it exists.
+    /// Returns the object, or std::nullopt if it does not exist.
     [[nodiscard]] std::optional<PlatformObject> get(const std::string &kind,
                                                     const std::string &name) const;
-    /// Writes over version \p ifVersion only; gives the new version or nothing.
+    /// Writes the object if its current version is \p ifVersion (0 if absent). Returns the
+    /// new version, or std::nullopt on a conflict.
     std::optional<Version> put(const std::string &kind, const std::string &name, Version ifVersion,
                                std::string value);
-    /// Deletes version \p ifVersion only; gives the deletion's version or nothing.
+    /// Deletes the object if its current version is \p ifVersion. Returns the version of
+    /// the deletion, or std::nullopt on a conflict.
     std::optional<Version> remove(const std::string &kind, const std::string &name,
                                   Version ifVersion);
-    /// All objects of \p kinds.
+    /// Returns all objects of \p kinds.
     [[nodiscard]] std::vector<PlatformObject> list(const std::set<std::string> &kinds) const;
-    /// The last change to each object of \p kinds after \p since; nothing where
-    /// that is longer ago than is kept.
+    /// Returns the last change after \p since to each object of \p kinds, or std::nullopt if
+    /// the history does not reach back to \p since.
     [[nodiscard]] std::optional<std::vector<PlatformObject>>
     changes(const std::set<std::string> &kinds, Version since) const;
-    /// The version of the last change to anything.
+    /// Returns the version of the last change to any object.
     [[nodiscard]] Version version() const { return m_version; }
 
 private:
     using Key = std::pair<std::string, std::string>;
 
     Version versionOf(const Key &key) const;
-    void remember(PlatformObject change);
+    void appendChange(PlatformObject change);
 
-    std::size_t m_keptEvents;
+    std::size_t m_historySize;
     Version m_version = 0;
-    Version m_forgotten = 0; ///< Changes up to this one are no longer kept.
+    Version m_droppedUpTo = 0; ///< Changes up to this version were dropped from the history.
     std::map<Key, PlatformObject> m_objects;
     std::deque<PlatformObject> m_changes;
 };
--- a/utils/standin/serve.cpp
+++ b/utils/standin/serve.cpp
@@ -1,4 +1,4 @@
-//===- serve.cpp - What all stand-ins do at start -------------------------===//
+//===- serve.cpp - Main loop of the stand-ins -----------------------------===//
 
 #include "serve.h"
 
@@ -14,7 +14,7 @@
 int serve(const HttpServerOptions &options, const HttpHandler &handler,
           const std::function<void(HttpServer *)> &attach)
 {
-    // Blocked before the server starts its threads, which inherit it.
+    // Block the signals before the server starts its threads, which inherit the mask.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/utils/standin/serve.h
+++ b/utils/standin/serve.h
@@ -1,4 +1,4 @@
-//===- serve.h - What all stand-ins do at start -----------------*- C++ -*-===//
+//===- serve.h - Main loop of the stand-ins ---------------------*- C++ -*-===//
 
 #ifndef HARELINK_UTILS_STANDIN_SERVE_H
 #define HARELINK_UTILS_STANDIN_SERVE_H
@@ -9,10 +9,9 @@
 
 namespace harelink::standin {
 
-/// Listens, prints "port N", and serves until SIGTERM or SIGINT; gives the exit
-/// code.
+/// Listens, prints "port N", and serves until SIGTERM or SIGINT. Returns the exit code.
 ///
-/// \param attach is told the server before the first request can matter.
+/// \param attach receives the server before its port is printed.
 int serve(const HttpServerOptions &options, const HttpHandler &handler,
           const std::function<void(HttpServer *)> &attach);
 
