--- a/utils/demo-table.py
+++ b/utils/demo-table.py
@@ -8,8 +8,8 @@
         load = json.load(file)
     most_runs = int(sys.argv[2])
     ended = sum(load[k] for k in ("completed", "notRun", "incomplete", "unknown", "refusedByRule"))
-    # A caller whose daemon died was told nothing; it asked again elsewhere, so
-    # whoever still has no answer after that lost its request.
+    # A caller whose daemon died got no answer and retried at another daemon, so a request
+    # without an answer after that is lost.
     lost = load["sent"] - ended
     doubled = max(0, most_runs - 1)
     rows = [
--- a/utils/local-fleet.sh
+++ b/utils/local-fleet.sh
@@ -1,13 +1,13 @@
-# Functions that start stand-ins and daemons on the loopback addresses, each on
-# a port that the system chose, and end just these. To be sourced.
+# Functions that start stand-ins and daemons on loopback addresses, each on a port chosen
+# by the system, and stop only these processes. To be sourced.
 #
-# Daemons talk under fleet_keys, made anew where none are set.
+# Daemons use the peer keys in fleet_keys; new keys are created if it is not set.
 #
-# Needs: bin (folder of the programs) and work (a scratch folder).
+# Requires: bin (directory of the programs) and work (a scratch directory).
 
 declare -A fleet_pid fleet_address fleet_operators fleet_peers
 
-# fleet_wait_for FILE PATTERN: waits until a line of FILE matches, prints it.
+# fleet_wait_for FILE PATTERN: waits until a line of FILE matches and prints it.
 fleet_wait_for() {
     local tries
     for tries in $(seq 200); do
@@ -62,8 +62,8 @@
     fleet_list "$name" "$2"
 }
 
-# fleet_list NAME DATA_CENTRE: puts a daemon on the platform's host list, as the
-# platform does by itself in the field.
+# fleet_list NAME DATA_CENTRE: adds a daemon to the platform's host list, as a real platform
+# does by itself.
 fleet_list() {
     curl -sf -o /dev/null -X PUT \
         -d "{\"dataCentre\": \"$2\", \"peers\": \"${fleet_peers[$1]}\",
@@ -84,7 +84,7 @@
     return 1
 }
 
-# fleet_fill FILE: prints it with each @NAME@ replaced by that process's address.
+# fleet_fill FILE: prints FILE with each @NAME@ replaced by the address of that process.
 fleet_fill() {
     local name script=()
     for name in "${!fleet_address[@]}"; do
@@ -93,7 +93,7 @@
     sed "${script[@]}" "$1"
 }
 
-# fleet_switch NAME JSON: sets switches of a stand-in.
+# fleet_switch NAME JSON: sets the fault injection of a stand-in.
 fleet_switch() {
     curl -sf -o /dev/null -X POST -d "$2" "http://${fleet_address[$1]}/control"
 }
@@ -109,7 +109,7 @@
     kill -s "$2" "${fleet_pid[$1]}"
 }
 
-# fleet_end: ends every process that was started here, by its id.
+# fleet_end: stops every process that was started here, by its id.
 fleet_end() {
     local name
     for name in "${!fleet_pid[@]}"; do
