--- a/utils/bench/fleet.cpp
+++ b/utils/bench/fleet.cpp
@@ -19,7 +19,7 @@
 #include <chrono>
 #include <ctime>
 
-DEFINE_int32(hosts, 300, "Number of daemons.");
+DEFINE_int32(hosts, 300, "Daemons.");
 DEFINE_int32(data_centres, 5, "Number of data centres over which the daemons are spread.");
 DEFINE_int32(able, 3,
              "Number of hosts per data centre with four times the capacity of the others.");
