--- a/include/harelink/Adapters/dialect.h
+++ b/include/harelink/Adapters/dialect.h
@@ -1,9 +1,10 @@
-//===- harelink/Adapters/dialect.h - A platform's way to speak --*- C++ -*-===//
+//===- harelink/Adapters/dialect.h - Platform protocol plug-ins --*- C++ -*-===//
 ///
 /// \file
-/// What a platform says in its own names and forms: its object store, the requests
-/// that callers send through it, and its endpoints. A dialect is a plug-in that the
-/// settings choose by name. It translates; it holds no state and decides nothing.
+/// Translation between the kernel's types and the HTTP messages of one platform: its
+/// object store, the requests that callers send through it, and its endpoints. A dialect
+/// is a plug-in that is selected by name in the settings. It is stateless and makes no
+/// decisions.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -27,57 +28,57 @@
 
 namespace harelink {
 
-/// The name of the product's own dialect.
+/// The name of the dialect that harelink itself defines.
 inline constexpr const char *ownDialectName = "harelink";
 
-/// How the object store is spoken to.
+/// Encodes and decodes the calls to the object store.
 class PlatformDialect
 {
 public:
     virtual ~PlatformDialect() = default;
-    /// The HTTP call that carries \p call.
+    /// Returns the HTTP call for \p call.
     ///
-    /// \param address IP number and port of the platform.
-    /// \param timeout after which a call counts as silent; a watch gets its wait besides.
+    /// \param address IP address and port of the platform.
+    /// \param timeout after which a call counts as unanswered; the wait of a watch is added.
     [[nodiscard]] virtual HttpCall encode(const PlatformCall &call, const std::string &address,
                                           Duration timeout) const = 0;
-    /// What \p result says of \p call.
+    /// Translates \p result, the HTTP result of \p call.
     [[nodiscard]] virtual PlatformResult decode(const PlatformCall &call,
                                                 const HttpResult &result) const = 0;
-    /// Reads the declared resources.
+    /// Returns the reader of declared resources.
     [[nodiscard]] virtual const ObjectReader &objects() const = 0;
-    /// The kind of object in which daemons declare themselves; empty where the platform
-    /// knows its hosts by itself.
+    /// Returns the kind of object in which daemons register their hosts; empty if the
+    /// platform lists its hosts by other means.
     [[nodiscard]] virtual std::string hostKind() const { return {}; }
 };
 
-/// How callers' requests are read and passed on unchanged.
+/// Reads callers' requests and forwards them unchanged.
 class ProxiedDialect
 {
 public:
     virtual ~ProxiedDialect() = default;
-    /// Reads a request; an error names the fault.
+    /// Parses a request. Returns an error that names the fault if it is invalid.
     [[nodiscard]] virtual absl::StatusOr<RequestArrived> read(HttpRequest request) const = 0;
-    /// The reply that carries \p answer.
+    /// Returns the reply for \p answer.
     [[nodiscard]] virtual HttpReply makeReply(const AnswerCaller &answer) const = 0;
-    /// The reply to a request that could not be read.
+    /// Returns the reply to a request that could not be parsed.
     [[nodiscard]] virtual HttpReply makeBadRequest(const HttpRequest &request,
                                                    const absl::Status &error) const = 0;
-    /// The beginning of a stream.
+    /// Returns the status and headers with which a streamed reply begins.
     [[nodiscard]] virtual HttpReply makeHead(const ProxiedAnswer &head) const = 0;
-    /// The HTTP call that carries a request to its endpoint.
+    /// Returns the HTTP call that forwards a request to its endpoint.
     [[nodiscard]] virtual HttpCall encode(const SendStage &stage) const = 0;
-    /// What \p result says of \p stage.
+    /// Translates \p result, the HTTP result of \p stage.
     [[nodiscard]] virtual std::variant<StageAnswered, StageFailed>
     decode(const SendStage &stage, const HttpResult &result) const = 0;
-    /// Whether the answer that begins with \p head is a stream of events.
+    /// Returns whether the answer with the headers in \p head is a stream of events.
     [[nodiscard]] virtual bool isStream(const HttpResult &head) const = 0;
-    /// One whole event of the stream that began with \p head.
+    /// Decodes one complete event of the stream with the headers in \p head.
     [[nodiscard]] virtual StageEvent decodeEvent(const SendStage &stage, const HttpResult &head,
                                                  std::string_view event) const = 0;
 };
 
-/// How endpoints of pieces are spoken to.
+/// Encodes and decodes the calls to endpoints that compute pieces.
 class PieceDialect
 {
 public:
@@ -85,41 +86,41 @@
     [[nodiscard]] virtual HttpCall encode(const PieceCall &call) const = 0;
     [[nodiscard]] virtual PieceCallEnded decode(const PieceCall &call,
                                                 const HttpResult &result) const = 0;
-    /// The calls that free results, one for each endpoint that keeps some.
+    /// Returns the calls that free results, one for each endpoint that stores any of them.
     [[nodiscard]] virtual std::vector<HttpCall>
     encodeFree(const std::vector<std::string> &handles) const = 0;
 };
 
-/// A platform's way to speak.
+/// The protocols of one platform.
 class Dialect
 {
 public:
     virtual ~Dialect() = default;
     [[nodiscard]] virtual const PlatformDialect &platform() const = 0;
-    /// Null where callers speak the product's own interface.
+    /// Returns the dialect of proxied requests; null if callers use harelink's own API.
     [[nodiscard]] virtual const ProxiedDialect *proxied() const { return nullptr; }
-    /// What an answer says of its endpoint, as of status checks.
+    /// Returns what an answer, including that to a status check, reports of its endpoint.
     [[nodiscard]] virtual EndpointNotice noticeIn(const HttpResult &result) const = 0;
-    /// Null where no endpoint works in pieces.
+    /// Returns the dialect of piece calls; null if no endpoint computes pieces.
     [[nodiscard]] virtual const PieceDialect *pieces() const { return nullptr; }
 };
 
-/// Reads the answer to a proxied request as it comes in.
+/// Decodes the answer to a proxied request incrementally.
 class ProxiedStream
 {
 public:
-    /// \param dialect outlives the stream.
+    /// \param dialect must outlive the stream.
     ProxiedStream(const ProxiedDialect &dialect, const SendStage &stage);
-    /// Takes in a part of the body; gives the events that it made whole, in order.
+    /// Handles a part of the body. Returns the events that it completed, in order.
     std::vector<StageEvent> handleBody(const HttpResult &head, const std::string &bytes);
-    /// What the end of the call says.
+    /// Returns the outcome of the call from its final \p result.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(HttpResult result) const;
 
 private:
     const ProxiedDialect &m_dialect;
     SendStage m_stage;
-    std::string m_rest; ///< Bytes of an event that is not whole yet, or of a plain answer.
-    bool m_streams = false;
+    std::string m_buffer; ///< Bytes of an incomplete event, or of an answer without events.
+    bool m_isStream = false;
 };
 
 } // namespace harelink
--- a/include/harelink/Adapters/eventloop.h
+++ b/include/harelink/Adapters/eventloop.h
@@ -1,8 +1,8 @@
-//===- harelink/Adapters/eventloop.h - One thread's loop --------*- C++ -*-===//
+//===- harelink/Adapters/eventloop.h - Event loop of a thread ----*- C++ -*-===//
 ///
 /// \file
-/// The loop of one thread: tasks posted by other threads, HTTP calls, and a
-/// time to wake up at.
+/// The event loop of one thread: runs tasks posted by other threads, HTTP calls
+/// and an iteration callback with a wake-up time.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,31 +19,32 @@
 
 namespace harelink {
 
-/// Runs one thread.
+/// Event loop of one thread.
 class EventLoop
 {
 public:
     using Task = std::function<void()>;
-    /// Called once a turn; tells when it wants the next turn at the latest.
+    /// Called once per iteration. Returns the latest time at which the next iteration
+    /// must start, std::nullopt if there is none.
     using IterationCallback = std::function<std::optional<TimePoint>()>;
 
-    /// Hands \p task to the loop's thread; from any thread.
+    /// Queues \p task for the loop's thread. Thread-safe.
     void post(Task task);
-    /// Runs until stop().
+    /// Runs the loop until stop() is called.
     ///
-    /// \param extraDescriptor a descriptor that starts a turn when it can be
-    ///        read, or -1.
-    void run(const Clock &clock, const IterationCallback &turn, int extraDescriptor = -1);
-    /// Ends run() after the turn in progress; from any thread.
+    /// \param extraDescriptor a file descriptor that starts an iteration when it
+    ///        becomes readable, or -1.
+    void run(const Clock &clock, const IterationCallback &iterate, int extraDescriptor = -1);
+    /// Ends run() after the current iteration. Thread-safe.
     void stop();
-    /// The calls of this thread.
+    /// Returns the HTTP client of this thread.
     [[nodiscard]] HttpClient &http() { return m_http; }
 
 private:
     bool runTasks();
 
     HttpClient m_http;
-    std::mutex m_mutex; ///< Of m_tasks; held for a push or a swap only.
+    std::mutex m_mutex; ///< Guards m_tasks; held only for a push or a swap.
     std::vector<Task> m_tasks;
     std::atomic<bool> m_stopped{false};
 };
--- a/include/harelink/Adapters/eventstream.h
+++ b/include/harelink/Adapters/eventstream.h
@@ -3,7 +3,7 @@
 /// \file
 /// Splits a body of server-sent events (the HTML standard's "text/event-stream")
 /// into the data of its events, and writes events. Only the fields "event" and
-/// "data" are used; no library for them is packaged.
+/// "data" are used. There is no packaged library for this format.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,34 +16,34 @@
 
 namespace harelink {
 
-/// The media type of a body of events.
+/// The media type of server-sent events.
 inline constexpr std::string_view eventStreamType = "text/event-stream";
 
-/// Where the event that begins at \p from ends, behind its empty line; npos while more
-/// bytes are needed. The bytes are left as they are, for passing on.
+/// Returns the offset behind the empty line that ends the event at offset \p from; npos if
+/// the event is incomplete. Doesn't interpret the bytes, so that they can be forwarded unchanged.
 [[nodiscard]] std::size_t findEventEnd(std::string_view bytes, std::size_t from);
-/// The value of the field \p name of one whole event, or nothing.
+/// Returns the value of the field \p name of one complete event; std::nullopt if absent.
 [[nodiscard]] std::optional<std::string_view> eventField(std::string_view event,
                                                          std::string_view name);
 
-/// Reads events as their bytes come in.
+/// Parses events incrementally.
 class EventReader
 {
 public:
-    /// Takes in the next bytes of the body.
+    /// Appends the next bytes of the body.
     void feed(const std::string &bytes) { m_buffer += bytes; }
-    /// The data of the next whole event; nothing while more bytes are needed.
+    /// Returns the data of the next complete event; std::nullopt if more bytes are needed.
     std::optional<std::string> next();
 
 private:
     std::optional<std::string> nextLine();
 
     std::string m_buffer;
-    std::string m_data;     ///< Of the event that is being read.
-    bool m_hasData = false; ///< An event without data is none.
+    std::string m_data;     ///< Data of the event that is being parsed.
+    bool m_hasData = false; ///< Events without data are ignored.
 };
 
-/// One event. \p data has no line breaks, as JSON on one line has none.
+/// Formats one event. \p data must not contain line breaks, as in single-line JSON.
 [[nodiscard]] std::string formatEvent(std::string_view name, std::string_view data);
 
 } // namespace harelink
--- a/include/harelink/Adapters/httpclient.h
+++ b/include/harelink/Adapters/httpclient.h
@@ -1,7 +1,7 @@
-//===- harelink/Adapters/httpclient.h - Outgoing HTTP -----------*- C++ -*-===//
+//===- harelink/Adapters/httpclient.h - HTTP client -------------*- C++ -*-===//
 ///
 /// \file
-/// Outgoing HTTP calls over libcurl's multi interface, for one thread.
+/// HTTP client of one thread over libcurl's multi interface.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,57 +19,57 @@
 
 namespace harelink {
 
-/// A call to make.
+/// An outgoing HTTP call.
 struct HttpCall
 {
     std::string method = "GET";
     std::string url;
-    std::vector<std::string> headers; ///< Whole lines, as in "Accept: text/html".
+    std::vector<std::string> headers; ///< Complete lines such as "Accept: text/html".
     std::string body;
     Duration timeout{};
-    Duration connectTimeout{}; ///< For the connection alone; zero for the same as timeout.
-    /// The path and query to send, unchanged, in place of the url's; may be empty.
+    Duration connectTimeout{}; ///< Limits connecting; zero means no limit besides timeout.
+    /// Path and query that are sent unchanged in place of those of the URL, unless empty.
     std::string target;
-    /// Sends no header field but those given and those that frame the body.
+    /// Sends only the given header fields and those that frame the body.
     bool omitDefaultHeaders = false;
-    /// Whether the library may send it again when a kept connection breaks. Off,
-    /// the call gets a connection of its own, which is never tried twice.
+    /// Whether libcurl may resend the call when a reused connection breaks. If false,
+    /// the call gets a new connection and is never sent twice.
     bool resendable = true;
-    /// Opens a connection of its own, sends nothing, and is done.
+    /// Only opens a new connection, without sending a request.
     bool connectOnly = false;
 };
 
-/// What is known of the connection of a call.
+/// State of the connection of a call.
 enum class HttpConnection {
     Unknown,
     Established,
-    Refused, ///< Nobody listens there.
+    Refused, ///< No process listens at the address.
 };
 
-/// How a call ended.
+/// The result of a call.
 struct HttpResult
 {
-    int status = 0;        ///< 0 where no whole answer came.
-    bool sent = false;     ///< Whether any byte of the request may have left.
-    bool isBroken = false; ///< The connection ended before the answer did.
+    int status = 0;        ///< 0 if no complete answer was received.
+    bool sent = false;     ///< Whether any byte of the request may have been sent.
+    bool isBroken = false; ///< The peer closed the connection before the answer was complete.
     HttpConnection connection = HttpConnection::Unknown;
-    std::string error; ///< Where status is 0.
+    std::string error; ///< Error text if status is 0.
     std::string body;
-    std::map<std::string, std::string> headers; ///< Names in lower case; the last of each.
-    /// All header fields in order, names as sent.
+    std::map<std::string, std::string> headers; ///< Lower-case names; the last value of each.
+    /// All header fields in order, with names as sent.
     std::vector<std::pair<std::string, std::string>> fields;
-    int headStatus = 0; ///< Of the status line, also where no whole answer came.
+    int headStatus = 0; ///< From the status line, also if the answer is incomplete.
 
-    /// The header called \p name, or an empty text.
+    /// Returns the header \p name (lower case); empty if absent.
     [[nodiscard]] std::string header(const std::string &name) const;
 };
 
-/// Makes calls. All methods but wakeUp() belong to one thread.
+/// Makes HTTP calls. All methods except wakeUp() must be called from one thread.
 class HttpClient
 {
 public:
     using DoneCallback = std::function<void(HttpResult)>;
-    /// Takes a part of the body as it comes; the headers so far are in the result.
+    /// Receives a part of the body; the result holds the headers received so far.
     using BodyCallback = std::function<void(const HttpResult &, const std::string &)>;
 
     HttpClient();
@@ -77,35 +77,36 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Starts a call; \p done is called once from poll(), unless it is cancelled.
+    /// Starts a call and returns its id. \p onDone is called once from poll(), unless the
+    /// call is cancelled.
     ///
-    /// \param part is called from poll() with each part of the body, in order and
-    ///        before \p done, whose result then has no body; may be empty.
-    std::uint64_t send(const HttpCall &call, DoneCallback done, BodyCallback part = {});
-    /// Stops a call; its \p done is not called.
+    /// \param onBody is called from poll() with each part of the body, in order and
+    ///        before \p onDone, whose result then has no body; may be empty.
+    std::uint64_t send(const HttpCall &call, DoneCallback onDone, BodyCallback onBody = {});
+    /// Cancels a call; its callbacks are not called.
     void cancel(std::uint64_t id);
-    /// Moves calls on, waiting at most \p timeout for something to happen.
+    /// Advances all calls, waiting at most \p timeout for activity.
     ///
-    /// \param extraDescriptor a file descriptor that ends the wait when it can
-    ///        be read, or -1.
+    /// \param extraDescriptor a file descriptor that ends the wait when it becomes
+    ///        readable, or -1.
     void poll(Duration timeout, int extraDescriptor = -1);
-    /// Ends a wait in poll(); may be called from any thread.
+    /// Ends a wait in poll(). Thread-safe.
     void wakeUp();
 
 private:
     class Transfer;
     struct Multi;
 
-    void deliverParts();
+    void deliverBodies();
     void finishTransfers();
 
     std::unique_ptr<Multi> m_multi;
     std::map<std::uint64_t, std::unique_ptr<Transfer>> m_transfers;
-    std::vector<std::uint64_t> m_withParts; // Calls of which something came in.
+    std::vector<std::uint64_t> m_withBody; ///< Calls with undelivered parts of the body.
     std::uint64_t m_nextId = 1;
 };
 
-/// Makes one call and waits for its end; for command-line programs.
+/// Makes one call and blocks until its end; for command-line programs.
 HttpResult callAndWait(const HttpCall &call);
 
 } // namespace harelink
--- a/include/harelink/Adapters/httpserver.h
+++ b/include/harelink/Adapters/httpserver.h
@@ -1,7 +1,7 @@
-//===- harelink/Adapters/httpserver.h - Incoming HTTP -----------*- C++ -*-===//
+//===- harelink/Adapters/httpserver.h - HTTP server -------------*- C++ -*-===//
 ///
 /// \file
-/// An HTTP server over RESTinio, behind an interface that does not include it.
+/// HTTP server on RESTinio. This interface doesn't include RESTinio's headers.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,26 +21,26 @@
 
 namespace harelink {
 
-/// Header fields in the order in which they stand in a message.
+/// Header fields in message order.
 using HttpFields = std::vector<std::pair<std::string, std::string>>;
 
-/// A request that came in.
+/// An incoming request.
 struct HttpRequest
 {
     std::string method;
     std::string target; ///< Path and query, as sent.
     std::string path;   ///< Without the query, as sent.
     std::map<std::string, std::string> query;
-    std::map<std::string, std::string> headers; ///< Names in lower case; the last of each.
-    HttpFields fields;                          ///< All of them, names as sent.
+    std::map<std::string, std::string> headers; ///< Lower-case names; the last value of each.
+    HttpFields fields;                          ///< All header fields, with names as sent.
     std::string body;
-    std::uint64_t connection = 0; ///< The same for all requests of a connection.
+    std::uint64_t connection = 0; ///< Id of the connection.
 
-    /// The header called \p name (lower case), or an empty text.
+    /// Returns the header \p name (lower case); empty if absent.
     [[nodiscard]] std::string header(const std::string &name) const;
-    /// The query parameter called \p name, or an empty text.
+    /// Returns the query parameter \p name; empty if absent.
     [[nodiscard]] std::string parameter(const std::string &name) const;
-    /// The path's parts between slashes.
+    /// Returns the non-empty segments of the path.
     [[nodiscard]] std::vector<std::string> pathParts() const;
 };
 
@@ -48,53 +48,54 @@
 struct HttpReply
 {
     int status = 200;
-    std::string contentType = "application/json"; ///< Empty: the headers say it, or nobody.
+    std::string contentType = "application/json"; ///< If empty, only `headers` may set it.
     HttpFields headers;
     std::string body;
-    bool close = false; ///< The connection ends after this reply.
-    /// The connection is cut: what was sent of the reply so far must not look whole.
+    bool close = false; ///< Closes the connection after this reply.
+    /// Closes the connection without completing the reply, so that the caller can't take
+    /// the part sent so far for a complete one.
     bool abort = false;
-    /// More parts follow: the reply is sent in chunks, each with a call of the
-    /// responder. Only the first part's status and headers count.
+    /// More parts follow: the reply is sent in chunks, one per call of the responder.
+    /// Only the status and headers of the first part are used.
     bool more = false;
     /// Called on a server's thread if this part cannot be sent; may be empty.
     std::function<void()> onSendFailed;
 };
 
-/// Sends the reply; from any thread. Called once, or once for each part of a
-/// reply in parts, one after the other.
+/// Sends the reply. Thread-safe. Called once, or once for each part of a chunked
+/// reply, in sequence.
 using Responder = std::function<void(HttpReply)>;
-/// Takes a request in; called on the server's threads.
+/// Handles a request; called on the server's threads.
 using HttpHandler = std::function<void(HttpRequest, Responder)>;
 
-/// What a server is told at start.
+/// Options of a server.
 struct HttpServerOptions
 {
-    std::string address; ///< IP number and port; port 0 takes a free one.
+    std::string address; ///< IP address and port; port 0 selects a free one.
     int threads = 1;
-    std::size_t maxBodyBytes = 1'100'000; ///< Larger ones end the connection.
-    /// A connection may be silent so long between two requests.
+    std::size_t maxBodyBytes = 1'100'000; ///< Larger bodies close the connection.
+    /// Connections that are idle for longer than this between two requests are closed.
     std::chrono::milliseconds idleLimit{120'000};
-    /// Told of each connection that ended, on a thread of the server; may be empty.
+    /// Called for each closed connection on a thread of the server; may be empty.
     std::function<void(std::uint64_t connection)> onClosed;
 };
 
-/// A running server; stops when destroyed.
+/// A running server; the destructor stops it.
 class HttpServer
 {
 public:
-    /// Starts to listen.
+    /// Starts a server. Returns an error if it cannot listen on the address.
     static absl::StatusOr<std::unique_ptr<HttpServer>> start(const HttpServerOptions &options,
                                                              HttpHandler handler);
     ~HttpServer();
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /// The port it listens on.
+    /// Returns the port that the server listens on.
     [[nodiscard]] std::uint16_t port() const;
     /// Calls \p task on a thread of the server after \p delay.
     void runAfter(Duration delay, std::function<void()> task);
-    /// Stops listening and ends all connections.
+    /// Stops listening and closes all connections.
     void stop();
 
 private:
--- a/include/harelink/Adapters/noticereader.h
+++ b/include/harelink/Adapters/noticereader.h
@@ -1,7 +1,7 @@
-//===- harelink/Adapters/noticereader.h - Words of endpoints ----*- C++ -*-===//
+//===- harelink/Adapters/noticereader.h - Endpoint notices ------*- C++ -*-===//
 ///
 /// \file
-/// Reads what an endpoint says of itself in the header fields of an answer.
+/// Parses the header fields of an answer in which an endpoint reports its own state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -15,17 +15,17 @@
 
 namespace harelink {
 
-/// The header fields of a dialect; names in lower case.
+/// Lower-case names of a dialect's header fields for notices.
 struct NoticeFields
 {
-    std::string rateLimit;  ///< Requests per second from all hosts, a decimal number.
-    std::string leaving;    ///< "1" where the endpoint takes no new work, "0" where it does.
+    std::string rateLimit;  ///< Requests per second from all hosts, as a decimal number.
+    std::string leaving;    ///< "1" if the endpoint accepts no new work, otherwise "0".
     std::string coldMillis; ///< How long the endpoint stays cold, in milliseconds.
 };
 
-/// What \p result says of its endpoint. The standard field Retry-After (RFC 9110, in seconds;
-/// fractions are read too) asks for a pause where the status is 429 or 503. A field that cannot
-/// be read is named in the notice; the others hold.
+/// Returns what \p result reports of its endpoint. The standard field Retry-After (RFC 9110, in
+/// seconds; fractions are accepted too) requests a pause if the status is 429 or 503. An invalid
+/// field is named in the notice; the other fields still apply.
 [[nodiscard]] EndpointNotice readNotice(const HttpResult &result, const NoticeFields &names);
 
 } // namespace harelink
--- a/include/harelink/Adapters/peerlink.h
+++ b/include/harelink/Adapters/peerlink.h
@@ -1,9 +1,9 @@
 //===- harelink/Adapters/peerlink.h - Messages between daemons --*- C++ -*-===//
 ///
 /// \file
-/// Carries PeerMessages over ZeroMQ, as protobuf. Each daemon pulls from one
+/// Transports PeerMessages as protobuf over ZeroMQ. Each daemon pulls from one
 /// bound socket and pushes to one connected socket per peer. A message that
-/// cannot go at once is dropped: the kernel asks again or does without.
+/// cannot be sent at once is dropped: the kernel repeats it or tolerates the loss.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -26,25 +26,26 @@
 
 namespace harelink {
 
-/// The message as bytes.
+/// Serializes \p message.
 [[nodiscard]] std::string encodePeerMessage(const PeerMessage &message);
-/// Reads what encodePeerMessage() wrote; nothing where it is something else.
+/// Parses the output of encodePeerMessage(); std::nullopt if \p bytes are invalid.
 [[nodiscard]] std::optional<PeerMessage> decodePeerMessage(const std::string &bytes);
 
-/// Counts of what passed.
+/// Counters of messages.
 struct PeerLinkCounters
 {
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
-    std::uint64_t dropped = 0;    ///< Could not go at once.
-    std::uint64_t unreadable = 0; ///< Came in and was no message.
+    std::uint64_t dropped = 0;    ///< Could not be sent in time.
+    std::uint64_t unreadable = 0; ///< Received, but not a valid message.
     std::uint64_t sentBytes = 0;
 };
 
-/// A new pair of keys, which accepts no other.
+/// Generates a key pair that accepts no other keys.
 [[nodiscard]] PeerKeys makePeerKeys();
 
-/// The sockets of one daemon. Belongs to one thread after listen().
+/// The peer sockets of one daemon. After listen() to be used by one thread only, except
+/// for port().
 class PeerLink
 {
 public:
@@ -53,40 +54,40 @@
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
 
-    /// From now on every connection is under CURVE. Before listen().
+    /// Requires CURVE for all connections. Must be called before listen().
     void enableCurve(const PeerKeys &keys);
-    /// Expects receivers to hold the pair of \p publicKey instead of the own pair, as
-    /// while keys are exchanged. After enableCurve().
+    /// Expects receivers to use the key pair of \p publicKey instead of this daemon's pair,
+    /// for key rotation. Must be called after enableCurve().
     void trustServer(const std::string &publicKey);
-    /// Listens on \p address, an IP number and a port; port 0 takes a free one.
+    /// Listens on \p address, an IP address and port; port 0 selects a free one.
     absl::Status listen(const std::string &address);
-    /// The port it listens on; from any thread once listen() is done.
+    /// Returns the port that the link listens on. Thread-safe after listen().
     [[nodiscard]] std::uint16_t port() const { return m_port; }
-    /// Becomes readable when something may have come in. Only a change is shown,
-    /// so receive() must be called until it gives nothing.
+    /// Returns a descriptor that becomes readable when messages may have arrived. It is
+    /// edge-triggered: receive() must be called until it returns std::nullopt.
     [[nodiscard]] int descriptor() const;
-    /// Sends, or drops. What goes to a peer for the first time waits for its connection,
-    /// but not for long: flush() sends it.
+    /// Sends or drops a message. The first messages to a peer are queued for a short time
+    /// until its connection is established; flush() sends them.
     void send(const PeerSend &send, TimePoint now);
-    /// Sends what has waited for a new connection.
+    /// Sends messages that were queued for a new connection.
     void flush(TimePoint now);
-    /// When flush() is due; the latest of times where nothing waits.
+    /// Returns when flush() is due; TimePoint::max() if no message is queued.
     [[nodiscard]] TimePoint nextFlush() const { return m_nextFlush; }
-    /// The next message that came in.
+    /// Returns the next received message; std::nullopt if there is none.
     std::optional<PeerMessage> receive();
     [[nodiscard]] const PeerLinkCounters &counters() const { return m_counters; }
-    /// Connections refused for want of a known key.
+    /// Returns the number of connections that were refused because their key is unknown.
     [[nodiscard]] std::uint64_t refusedConnections() const;
 
 private:
     struct Sockets;
 
-    /// A message that waits for a connection.
+    /// A message that is queued until its connection is established.
     struct PendingMessage
     {
         std::string address;
         std::string bytes;
-        TimePoint until;
+        TimePoint expiresAt;
     };
 
     struct Sender;
@@ -94,9 +95,9 @@
     bool sendNow(const std::string &address, const std::string &bytes);
 
     std::unique_ptr<Sockets> m_sockets;
-    std::uint16_t m_port = 0; ///< The sockets themselves belong to one thread.
+    std::uint16_t m_port = 0; ///< Stored, since other threads must not use the sockets.
     std::set<std::string> m_unusableAddresses;
-    std::vector<PendingMessage> m_waiting;
+    std::vector<PendingMessage> m_pending;
     TimePoint m_nextFlush = TimePoint::max();
     PeerLinkCounters m_counters;
 };
--- a/include/harelink/Adapters/platformclient.h
+++ b/include/harelink/Adapters/platformclient.h
@@ -1,13 +1,13 @@
 //===- harelink/Adapters/platformclient.h - Object API over HTTP *- C++ -*-===//
 ///
 /// \file
-/// Carries PlatformCalls over HTTP and JSON:
+/// Encodes PlatformCalls as HTTP and JSON:
 ///
 ///   GET    /v1/objects/KIND/NAME              -> {"version": V, "value": TEXT}
 ///   PUT    /v1/objects/KIND/NAME?ifVersion=V  -> {"version": V}; 409 on another version
 ///   DELETE /v1/objects/KIND/NAME?ifVersion=V  -> {"version": V}; 409 on another version
 ///   GET    /v1/objects?kind=A,B               -> {"version": V, "objects": [...]}
-///   GET    /v1/watch?kind=A,B&since=V&waitMs=M -> the same, of what changed; 410 if forgotten
+///   GET    /v1/watch?kind=A,B&since=V&waitMs=M -> the same with changed objects; 410 if too old
 ///   GET    /v1/hosts -> {"hosts": [{"host", "dataCentre", "peers", "state"}]}
 ///
 //===----------------------------------------------------------------------===//
@@ -23,15 +23,16 @@
 
 namespace harelink {
 
-/// What the status of \p result, or its absence, says of a call to an object store.
+/// Returns the outcome of an object store call from the status of \p result, or from its
+/// absence.
 [[nodiscard]] PlatformOutcome storeCallOutcome(const HttpResult &result);
-/// The HTTP call that carries \p call.
+/// Returns the HTTP call for \p call.
 ///
-/// \param address IP number and port of the platform.
-/// \param timeout after which a call counts as silent; a watch gets its wait besides.
+/// \param address IP address and port of the platform.
+/// \param timeout after which a call counts as unanswered; the wait of a watch is added.
 [[nodiscard]] HttpCall encodePlatformCall(const PlatformCall &call, const std::string &address,
                                           Duration timeout);
-/// What \p result says of the call \p id.
+/// Translates \p result, the HTTP result of the call \p id.
 [[nodiscard]] PlatformResult decodePlatformResult(std::uint64_t id, const HttpResult &result);
 
 } // namespace harelink
--- a/include/harelink/Adapters/snapshotcell.h
+++ b/include/harelink/Adapters/snapshotcell.h
@@ -1,8 +1,8 @@
 //===- harelink/Adapters/snapshotcell.h - Snapshot under RCU ----*- C++ -*-===//
 ///
 /// \file
-/// Holds the snapshot in force. Readers take no lock; the one writer waits
-/// until no reader has the old snapshot any more and then deletes it.
+/// Holds the current configuration snapshot. Readers are lock-free; the single
+/// writer waits until no reader uses the old snapshot and then deletes it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 
 namespace harelink {
 
-/// Registers the calling thread as a reader for as long as it lives.
+/// Registers the calling thread as a reader for the lifetime of this object.
 class RcuThread
 {
 public:
@@ -26,7 +26,7 @@
     RcuThread &operator=(const RcuThread &) = delete;
 };
 
-/// The cell.
+/// An RCU-protected pointer to the current snapshot.
 class SnapshotCell
 {
 public:
@@ -35,7 +35,7 @@
     SnapshotCell(const SnapshotCell &) = delete;
     SnapshotCell &operator=(const SnapshotCell &) = delete;
 
-    /// Reads the snapshot; the thread must be registered and must not block.
+    /// A read-side critical section. The thread must be registered and must not block.
     class Reader
     {
     public:
@@ -50,9 +50,10 @@
         const Snapshot *m_snapshot;
     };
 
-    /// Puts \p next in force and deletes the one before; for one thread only.
+    /// Replaces the current snapshot by \p next and deletes the old one, after waiting for
+    /// its readers. May be called from one thread only.
     void publish(std::unique_ptr<const Snapshot> next);
-    /// The snapshot in force, for the publishing thread.
+    /// Returns the current snapshot, for the publishing thread.
     [[nodiscard]] const Snapshot &current() const { return *m_current.load(); }
 
 private:
--- a/include/harelink/Adapters/stageprotocol.h
+++ b/include/harelink/Adapters/stageprotocol.h
@@ -1,8 +1,8 @@
-//===- harelink/Adapters/stageprotocol.h - Talking to endpoints -*- C++ -*-===//
+//===- harelink/Adapters/stageprotocol.h - Endpoint protocols ---*- C++ -*-===//
 ///
 /// \file
-/// How a stage is sent to an endpoint and its answer read, by kind of endpoint.
-/// Each kind is a plug-in, chosen by a pool's "protocol".
+/// Encodes the call of a stage to an endpoint and decodes its answer, by kind of
+/// endpoint. Each kind is a plug-in, selected by a pool's "protocol".
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,74 +21,74 @@
 
 namespace harelink {
 
-/// The header in which a call's identity goes out and comes back.
+/// The header that carries a call's id in the request and, echoed, in the answer.
 inline constexpr const char *callIdHeader = "X-Request-Id";
 /// Requests per second that an endpoint accepts from all daemons; lower case.
 inline constexpr const char *rateLimitHeader = "harelink-rate-limit";
-/// "1" in the answers of an endpoint that takes no new work; lower case.
+/// "1" in the answers of an endpoint that accepts no new work; lower case.
 inline constexpr const char *leavingHeader = "harelink-leaving";
 /// How long the endpoint stays cold, in milliseconds; in answers to status checks.
 inline constexpr const char *coldHeader = "harelink-cold-ms";
 
-/// The fields in which endpoints of the product's own dialect speak of themselves.
+/// Returns the notice fields of harelink's own dialect.
 [[nodiscard]] const NoticeFields &ownNoticeFields();
 
-/// One event of an answer that comes in parts.
+/// One event of a streamed answer.
 struct StreamEvent
 {
-    std::string text; ///< Of one token; empty where the event brings none.
+    std::string text; ///< Text of one token; empty if the event has none.
     bool isLast = false;
 };
 
-/// Translates for one kind of endpoint.
+/// Protocol of one kind of endpoint.
 class StageProtocol
 {
 public:
     virtual ~StageProtocol() = default;
-    /// The path and body of the call; the rest is the same for all kinds.
+    /// Sets the path and body of \p call; the rest is common to all kinds.
     virtual void encode(const SendStage &stage, HttpCall &call) const = 0;
-    /// The stage's answer in the body of a reply with status 200.
+    /// Returns the stage's answer from the body of a reply with status 200.
     virtual absl::StatusOr<std::string> decode(const std::string &body) const = 0;
-    /// Whether answers can come in parts, as server-sent events. encode() then asks
-    /// for that where the stage wants it.
+    /// Returns whether answers can be streamed as server-sent events. encode() then
+    /// requests a stream if the stage does.
     [[nodiscard]] virtual bool streams() const { return false; }
-    /// Reads the data of one event.
+    /// Decodes the data of one event.
     [[nodiscard]] virtual absl::StatusOr<StreamEvent> decodeEvent(const std::string &data) const;
-    /// The answer that decode() would have given for all of \p text.
+    /// Returns the answer that decode() would return for the complete \p text.
     [[nodiscard]] virtual std::string wholeAnswer(const std::string &text) const { return text; }
 };
 
-/// That \p stage failed, with what is known of whether its endpoint saw it.
+/// Returns the failure of \p stage, with the evidence of whether its endpoint received it.
 [[nodiscard]] StageFailed stageFailure(const SendStage &stage, SendEvidence evidence,
                                        std::string_view message);
-/// The same where \p result brought no whole answer.
+/// Returns the failure of \p stage if \p result has no complete answer.
 [[nodiscard]] StageFailed callFailure(const SendStage &stage, const HttpResult &result);
-/// That the answer to \p stage ended before its last event.
+/// Returns the failure of \p stage if its answer ended before the last event.
 [[nodiscard]] StageFailed truncatedAnswer(const SendStage &stage, std::string_view message);
-/// The HTTP call that carries \p stage.
+/// Returns the HTTP call for \p stage.
 [[nodiscard]] HttpCall encodeStage(const StageProtocol &protocol, const SendStage &stage);
 
-/// What \p result says of \p stage: a StageAnswered or a StageFailed.
+/// Translates \p result, the HTTP result of \p stage.
 [[nodiscard]] std::variant<StageAnswered, StageFailed>
 decodeStage(const StageProtocol &protocol, const SendStage &stage, const HttpResult &result);
 
-/// Reads the answer to one call that streams.
+/// Decodes the streamed answer to one call.
 class StageStream
 {
 public:
-    /// \param protocol outlives the stream.
+    /// \param protocol must outlive the stream.
     StageStream(const StageProtocol &protocol, const SendStage &stage);
-    /// Takes in a part of the body; gives what it brought, in order.
+    /// Handles a part of the body. Returns the chunks that it completed, in order.
     std::vector<StageChunk> handleBody(const HttpResult &head, const std::string &body);
-    /// What the end of the call says.
+    /// Returns the outcome of the call from its final \p result.
     [[nodiscard]] std::variant<StageAnswered, StageFailed> finish(const HttpResult &result) const;
 
 private:
     const StageProtocol &m_protocol;
     SendStage m_stage;
     EventReader m_reader;
-    std::string m_refusal; ///< The body of a reply that is no stream.
-    std::string m_fault;   ///< Why the stream cannot be read on.
+    std::string m_plainBody;   ///< The body of a reply that is not a stream.
+    std::string m_decodeError; ///< Why the rest of the stream cannot be decoded.
     std::string m_text;
     std::uint64_t m_tokens;
     bool m_ended = false;
--- a/lib/Adapters/curveauthenticator.cpp
+++ b/lib/Adapters/curveauthenticator.cpp
@@ -1,4 +1,4 @@
-//===- curveauthenticator.cpp - Who may connect as a peer -----------------===//
+//===- curveauthenticator.cpp - Authentication of peers -------------------===//
 
 #include "curveauthenticator.h"
 
@@ -11,15 +11,15 @@
 namespace {
 
 constexpr const char *zapAddress = "inproc://zeromq.zap.01";
-/// Frames of a request: version, request id, domain, address, identity, mechanism,
-/// and the public key.
+/// Number of frames of a CURVE request: version, request id, domain, address, identity,
+/// mechanism and public key.
 constexpr std::size_t curveFrames = 7;
 constexpr std::size_t requestIdFrame = 1;
 constexpr std::size_t mechanismFrame = 5;
 constexpr std::size_t keyFrame = 6;
 constexpr std::size_t keyBytes = 32;
 
-std::string keyText(const zmq::message_t &frame)
+std::string encodeKey(const zmq::message_t &frame)
 {
     std::array<char, keyTextBytes> text{};
     zmq_z85_encode(text.data(), frame.data<std::uint8_t>(), frame.size());
@@ -45,13 +45,13 @@
 
 void CurveAuthenticator::run()
 {
-    bool goesOn = true;
-    while (goesOn) {
+    bool running = true;
+    while (running) {
         try {
-            goesOn = answerOne();
+            running = answerOne();
         } catch (const zmq::error_t &error) {
-            // A signal only interrupts the wait; anything else is the context's end.
-            goesOn = error.num() == EINTR;
+            // A signal only interrupts the wait; other errors mean that the context was shut down.
+            running = error.num() == EINTR;
         }
     }
     m_socket.close();
@@ -66,12 +66,12 @@
     const bool isCurve = request.size() == curveFrames
                          && request[mechanismFrame].to_string_view() == "CURVE"
                          && request[keyFrame].size() == keyBytes;
-    const bool known = isCurve && m_accepted.contains(keyText(request[keyFrame]));
-    m_refused += known ? 0 : 1;
+    const bool isAccepted = isCurve && m_accepted.contains(encodeKey(request[keyFrame]));
+    m_refused += isAccepted ? 0 : 1;
     const std::string id =
         request.size() > requestIdFrame ? request[requestIdFrame].to_string() : std::string();
     const std::array<std::string, 6> reply = {
-        "1.0", id, known ? "200" : "400", known ? "OK" : "unknown key", "", ""};
+        "1.0", id, isAccepted ? "200" : "400", isAccepted ? "OK" : "unknown key", "", ""};
     std::array<zmq::const_buffer, reply.size()> frames;
     for (std::size_t i = 0; i < reply.size(); ++i) {
         frames[i] = zmq::buffer(reply[i]);
--- a/lib/Adapters/curveauthenticator.h
+++ b/lib/Adapters/curveauthenticator.h
@@ -1,8 +1,8 @@
-//===- curveauthenticator.h - Who may connect as a peer ---------*- C++ -*-===//
+//===- curveauthenticator.h - Authentication of peers -----------*- C++ -*-===//
 ///
 /// \file
-/// Answers ZeroMQ's question (ZAP, RFC 27) whether a peer that connects under
-/// CURVE may do so: only with a public key that the settings name.
+/// Handles ZeroMQ's authentication requests (ZAP, RFC 27) for CURVE connections:
+/// accepts peers whose public key is listed in the settings.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,22 +21,22 @@
 
 namespace harelink {
 
-/// Bytes of a key in Z85, with the end of the text.
+/// Size of a key in Z85 with the terminating null, in bytes.
 inline constexpr std::size_t keyTextBytes = 41;
 
-/// Answers on a thread of its own, until the context is shut down.
+/// Answers authentication requests on its own thread until the context is shut down.
 class CurveAuthenticator
 {
 public:
-    /// \param context whose sockets are asked about; outlives this.
+    /// \param context context of the sockets to authenticate; must outlive this object.
     /// \param accepted public keys in Z85.
     CurveAuthenticator(zmq::context_t &context, const std::vector<std::string> &accepted);
-    /// The context must have been shut down, or this waits for it.
+    /// Blocks until the context is shut down.
     ~CurveAuthenticator();
     CurveAuthenticator(const CurveAuthenticator &) = delete;
     CurveAuthenticator &operator=(const CurveAuthenticator &) = delete;
 
-    /// Connections that were refused.
+    /// Returns the number of refused connections.
     [[nodiscard]] std::uint64_t refusedConnections() const { return m_refused; }
 
 private:
--- a/lib/Adapters/dialect.cpp
+++ b/lib/Adapters/dialect.cpp
@@ -1,4 +1,4 @@
-//===- dialect.cpp - A platform's way to speak ----------------------------===//
+//===- dialect.cpp - Platform protocol plug-ins ---------------------------===//
 
 #include "harelink/Adapters/dialect.h"
 
@@ -10,7 +10,7 @@
 namespace harelink {
 namespace {
 
-/// Whether the end of the connection is not the only sign of the answer's end.
+/// Returns whether the answer is framed, so that its end differs from a closed connection.
 bool isFramed(const HttpResult &result)
 {
     return !result.header("content-length").empty()
@@ -27,33 +27,33 @@
 
 std::vector<StageEvent> ProxiedStream::handleBody(const HttpResult &head, const std::string &bytes)
 {
-    m_rest += bytes;
-    m_streams = m_streams || m_dialect.isStream(head);
+    m_buffer += bytes;
+    m_isStream = m_isStream || m_dialect.isStream(head);
     std::vector<StageEvent> events;
-    if (!m_streams) {
+    if (!m_isStream) {
         return events;
     }
     std::size_t begin = 0;
-    for (std::size_t end = findEventEnd(m_rest, begin); end != std::string::npos;
-         end = findEventEnd(m_rest, begin)) {
-        const std::string_view event = std::string_view(m_rest).substr(begin, end - begin);
+    for (std::size_t end = findEventEnd(m_buffer, begin); end != std::string::npos;
+         end = findEventEnd(m_buffer, begin)) {
+        const std::string_view event = std::string_view(m_buffer).substr(begin, end - begin);
         events.push_back(m_dialect.decodeEvent(m_stage, head, event));
         begin = end;
     }
-    m_rest.erase(0, begin);
+    m_buffer.erase(0, begin);
     return events;
 }
 
 std::variant<StageAnswered, StageFailed> ProxiedStream::finish(HttpResult result) const
 {
-    if (!m_streams) {
-        result.body = m_rest;
+    if (!m_isStream) {
+        result.body = m_buffer;
         return m_dialect.decode(m_stage, result);
     }
     if (result.status == 0) {
         return callFailure(m_stage, result);
     }
-    if (!m_rest.empty()) {
+    if (!m_buffer.empty()) {
         return truncatedAnswer(m_stage, "the stream ended within an event");
     }
     if (!isFramed(result)) {
--- a/lib/Adapters/eventloop.cpp
+++ b/lib/Adapters/eventloop.cpp
@@ -1,4 +1,4 @@
-//===- eventloop.cpp - One thread's loop ----------------------------------===//
+//===- eventloop.cpp - Event loop of a thread -----------------------------===//
 
 #include "harelink/Adapters/eventloop.h"
 
@@ -7,8 +7,8 @@
 namespace harelink {
 namespace {
 
-/// The longest time without a turn.
-constexpr std::chrono::milliseconds longestWait{500};
+/// Maximum time between two iterations.
+constexpr std::chrono::milliseconds maxWait{500};
 
 } // namespace
 
@@ -38,14 +38,14 @@
     return !tasks.empty();
 }
 
-void EventLoop::run(const Clock &clock, const IterationCallback &turn, int extraDescriptor)
+void EventLoop::run(const Clock &clock, const IterationCallback &iterate, int extraDescriptor)
 {
     while (!m_stopped) {
         runTasks();
-        const std::optional<TimePoint> next = turn();
-        Duration wait = longestWait;
+        const std::optional<TimePoint> next = iterate();
+        Duration wait = maxWait;
         if (next) {
-            wait = std::clamp<Duration>(*next - clock.now(), Duration::zero(), longestWait);
+            wait = std::clamp<Duration>(*next - clock.now(), Duration::zero(), maxWait);
         }
         m_http.poll(wait, extraDescriptor);
     }
--- a/lib/Adapters/eventstream.cpp
+++ b/lib/Adapters/eventstream.cpp
@@ -17,9 +17,9 @@
 
 std::size_t findEventEnd(std::string_view bytes, std::size_t from)
 {
-    for (std::size_t at = bytes.find('\n', from); at != std::string_view::npos;
-         at = bytes.find('\n', at + 1)) {
-        std::size_t next = at + 1;
+    for (std::size_t lineEnd = bytes.find('\n', from); lineEnd != std::string_view::npos;
+         lineEnd = bytes.find('\n', lineEnd + 1)) {
+        std::size_t next = lineEnd + 1;
         next += next < bytes.size() && bytes[next] == '\r' ? 1 : 0;
         if (next < bytes.size() && bytes[next] == '\n') {
             return next + 1;
@@ -86,7 +86,8 @@
 
 std::string formatEvent(std::string_view name, std::string_view data)
 {
-    assert(data.find('\n') == std::string_view::npos && "an event's data is one line");
+    assert(data.find('\n') == std::string_view::npos
+           && "the data of an event must be a single line");
     return fmt::format("event: {}\ndata: {}\n\n", name, data);
 }
 
--- a/lib/Adapters/httpclient.cpp
+++ b/lib/Adapters/httpclient.cpp
@@ -1,4 +1,4 @@
-//===- httpclient.cpp - Outgoing HTTP -------------------------------------===//
+//===- httpclient.cpp - HTTP client ---------------------------------------===//
 
 #include "harelink/Adapters/httpclient.h"
 
@@ -20,10 +20,10 @@
 namespace harelink {
 namespace {
 
-constexpr long keptConnections = 512;
+constexpr long maxCachedConnections = 512;
 
-/// libcurl wants its global start before any thread uses it.
-void startLibrary()
+/// libcurl requires global initialization before any thread uses it.
+void initializeLibrary()
 {
     static std::once_flag once;
     std::call_once(once, [] { curl_global_init(CURL_GLOBAL_DEFAULT); });
@@ -41,7 +41,7 @@
     return std::string(text);
 }
 
-int statusOfLine(std::string_view line)
+int parseStatusLine(std::string_view line)
 {
     const std::size_t space = line.find(' ');
     int status = 0;
@@ -51,15 +51,15 @@
     return status;
 }
 
-std::size_t takeHeader(char *data, std::size_t size, std::size_t count, void *user)
+std::size_t handleHeader(char *data, std::size_t size, std::size_t count, void *user)
 {
     const std::string_view line(data, size * count);
     auto &result = *static_cast<HttpResult *>(user);
     if (line.starts_with("HTTP/")) {
-        // Each answer begins anew, as the final one after an interim one does.
+        // Discards the fields of an interim response (1xx) that precedes the final one.
         result.headers.clear();
         result.fields.clear();
-        result.headStatus = statusOfLine(line);
+        result.headStatus = parseStatusLine(line);
         return size * count;
     }
     const std::size_t colon = line.find(':');
@@ -72,22 +72,22 @@
     return size * count;
 }
 
-/// Keep-alive probes tell of a connection that went silent for good: dead after some
-/// three seconds, at no cost to whoever answers calls.
-constexpr int probeIdleSeconds = 1;
-constexpr int probeIntervalSeconds = 1;
-constexpr int probeCount = 2;
-/// Bytes that nobody acknowledges for so long end the connection.
-constexpr unsigned unacknowledgedMs = 3000;
+/// TCP keep-alive probes detect a dead connection after about three seconds, without any
+/// load for the server process.
+constexpr int keepAliveIdleSeconds = 1;
+constexpr int keepAliveIntervalSeconds = 1;
+constexpr int keepAliveProbes = 2;
+/// Closes the connection if sent bytes stay unacknowledged for this time.
+constexpr unsigned maxUnacknowledgedMs = 3000;
 
 int prepareSocket(void *, curl_socket_t socket, curlsocktype)
 {
     const int on = 1;
     (void)setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
-    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &probeIdleSeconds, sizeof(int));
-    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &probeIntervalSeconds, sizeof(int));
-    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &probeCount, sizeof(int));
-    (void)setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMs, sizeof(unsigned));
+    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &keepAliveIdleSeconds, sizeof(int));
+    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &keepAliveIntervalSeconds, sizeof(int));
+    (void)setsockopt(socket, IPPROTO_TCP, TCP_KEEPCNT, &keepAliveProbes, sizeof(int));
+    (void)setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &maxUnacknowledgedMs, sizeof(unsigned));
     return CURL_SOCKOPT_OK;
 }
 
@@ -106,16 +106,16 @@
     return error;
 }
 
-/// Whether \p code says that the other side ended a connection that stood; a path that
-/// went silent is given up with the same code, but another error of the system.
-bool endedByPeer(CURL *easy, CURLcode code)
+/// Returns whether the peer closed an established connection. libcurl reports a lost network
+/// path by the same \p code, but with another system error.
+bool isClosedByPeer(CURL *easy, CURLcode code)
 {
     if (code == CURLE_GOT_NOTHING || code == CURLE_PARTIAL_FILE) {
         return true;
     }
     const long systemError = systemErrorOf(easy);
-    const bool wentSilent = systemError == ETIMEDOUT || systemError == EHOSTUNREACH;
-    return !wentSilent && (code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR);
+    const bool isUnreachable = systemError == ETIMEDOUT || systemError == EHOSTUNREACH;
+    return !isUnreachable && (code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR);
 }
 
 } // namespace
@@ -126,20 +126,20 @@
     return found == headers.end() ? std::string() : found->second;
 }
 
-/// One call in progress; owns what libcurl points to.
+/// One call in progress; owns the data that libcurl refers to.
 class HttpClient::Transfer
 {
 public:
-    Transfer(const HttpCall &call, std::uint64_t id, DoneCallback done, BodyCallback part,
-             std::vector<std::uint64_t> &withParts)
+    Transfer(const HttpCall &call, std::uint64_t id, DoneCallback onDone, BodyCallback onBody,
+             std::vector<std::uint64_t> &withBody)
         : m_id(id)
         , m_easy(curl_easy_init())
         , m_body(call.body)
-        , m_done(std::move(done))
-        , m_part(std::move(part))
-        , m_withParts(withParts)
+        , m_onDone(std::move(onDone))
+        , m_onBody(std::move(onBody))
+        , m_withBody(withBody)
     {
-        assert(m_easy != nullptr && "libcurl has no handle left");
+        assert(m_easy != nullptr && "libcurl failed to create a handle");
         curl_easy_setopt(m_easy, CURLOPT_URL, call.url.c_str());
         curl_easy_setopt(m_easy, CURLOPT_CUSTOMREQUEST, call.method.c_str());
         curl_easy_setopt(m_easy, CURLOPT_NOSIGNAL, 1L);
@@ -164,7 +164,7 @@
             curl_easy_setopt(m_easy, CURLOPT_CONNECT_ONLY, 1L);
         }
         if (!call.resendable || call.connectOnly) {
-            // On a kept connection that breaks, libcurl would send a POST again.
+            // If a reused connection breaks, libcurl would resend a POST.
             curl_easy_setopt(m_easy, CURLOPT_FRESH_CONNECT, 1L);
             curl_easy_setopt(m_easy, CURLOPT_FORBID_REUSE, 1L);
         }
@@ -178,9 +178,9 @@
             }
         }
         curl_easy_setopt(m_easy, CURLOPT_HTTPHEADER, m_headers);
-        curl_easy_setopt(m_easy, CURLOPT_WRITEFUNCTION, takeBody);
+        curl_easy_setopt(m_easy, CURLOPT_WRITEFUNCTION, handleBody);
         curl_easy_setopt(m_easy, CURLOPT_WRITEDATA, this);
-        curl_easy_setopt(m_easy, CURLOPT_HEADERFUNCTION, takeHeader);
+        curl_easy_setopt(m_easy, CURLOPT_HEADERFUNCTION, handleHeader);
         curl_easy_setopt(m_easy, CURLOPT_HEADERDATA, &m_result);
     }
     ~Transfer()
@@ -194,8 +194,8 @@
     [[nodiscard]] std::uint64_t id() const { return m_id; }
     [[nodiscard]] CURL *easy() const { return m_easy; }
 
-    /// Fills the result from how libcurl ended.
-    void conclude(CURLcode code)
+    /// Completes the result from libcurl's final \p code.
+    void finish(CURLcode code)
     {
         long requestBytes = 0;
         curl_easy_getinfo(m_easy, CURLINFO_REQUEST_SIZE, &requestBytes);
@@ -207,7 +207,7 @@
         }
         if (code != CURLE_OK) {
             m_result.error = lowerCase(curl_easy_strerror(code));
-            m_result.isBroken = m_result.sent && endedByPeer(m_easy, code);
+            m_result.isBroken = m_result.sent && isClosedByPeer(m_easy, code);
             return;
         }
         long status = 0;
@@ -215,26 +215,26 @@
         m_result.status = static_cast<int>(status);
     }
 
-    /// Hands out what of the body came in, where it is wanted in parts.
-    void deliverPart()
+    /// Passes the received part of the body to the body callback, if there is one.
+    void deliverBody()
     {
-        if (m_part && !m_result.body.empty()) {
-            // The callback may end this call: it gets copies.
-            const BodyCallback part = m_part;
+        if (m_onBody && !m_result.body.empty()) {
+            // The callback may cancel this call and so destroy this object: it gets copies.
+            const BodyCallback onBody = m_onBody;
             const std::string body = std::exchange(m_result.body, {});
             const HttpResult head = m_result;
-            part(head, body);
+            onBody(head, body);
         }
     }
     HttpResult takeResult() { return std::move(m_result); }
-    DoneCallback takeDone() { return std::move(m_done); }
+    DoneCallback takeCallback() { return std::move(m_onDone); }
 
 private:
-    static std::size_t takeBody(char *data, std::size_t size, std::size_t count, void *user)
+    static std::size_t handleBody(char *data, std::size_t size, std::size_t count, void *user)
     {
         auto *transfer = static_cast<Transfer *>(user);
-        if (transfer->m_part && transfer->m_result.body.empty()) {
-            transfer->m_withParts.push_back(transfer->m_id);
+        if (transfer->m_onBody && transfer->m_result.body.empty()) {
+            transfer->m_withBody.push_back(transfer->m_id);
         }
         transfer->m_result.body.append(data, size * count);
         return size * count;
@@ -242,7 +242,7 @@
     static long milliseconds(Duration time)
     {
         const auto count = std::chrono::ceil<std::chrono::milliseconds>(time).count();
-        // Zero would mean no limit to libcurl.
+        // libcurl takes zero for no limit.
         return std::max<long>(1, static_cast<long>(count));
     }
 
@@ -251,19 +251,19 @@
     curl_slist *m_headers = nullptr;
     std::string m_body;
     HttpResult m_result;
-    DoneCallback m_done;
-    BodyCallback m_part;
-    std::vector<std::uint64_t> &m_withParts;
+    DoneCallback m_onDone;
+    BodyCallback m_onBody;
+    std::vector<std::uint64_t> &m_withBody;
 };
 
-/// libcurl's set of calls.
+/// libcurl's multi handle.
 struct HttpClient::Multi
 {
     Multi()
         : handle(curl_multi_init())
     {
-        assert(handle != nullptr && "libcurl has no handle left");
-        curl_multi_setopt(handle, CURLMOPT_MAXCONNECTS, keptConnections);
+        assert(handle != nullptr && "libcurl failed to create a handle");
+        curl_multi_setopt(handle, CURLMOPT_MAXCONNECTS, maxCachedConnections);
     }
     ~Multi() { curl_multi_cleanup(handle); }
     Multi(const Multi &) = delete;
@@ -274,7 +274,7 @@
 
 HttpClient::HttpClient()
 {
-    startLibrary();
+    initializeLibrary();
     m_multi = std::make_unique<Multi>();
 }
 
@@ -286,11 +286,11 @@
     m_transfers.clear();
 }
 
-std::uint64_t HttpClient::send(const HttpCall &call, DoneCallback done, BodyCallback part)
+std::uint64_t HttpClient::send(const HttpCall &call, DoneCallback onDone, BodyCallback onBody)
 {
     const std::uint64_t id = m_nextId++;
     auto transfer =
-        std::make_unique<Transfer>(call, id, std::move(done), std::move(part), m_withParts);
+        std::make_unique<Transfer>(call, id, std::move(onDone), std::move(onBody), m_withBody);
     curl_multi_add_handle(m_multi->handle, transfer->easy());
     m_transfers.emplace(id, std::move(transfer));
     return id;
@@ -310,7 +310,7 @@
 {
     int running = 0;
     curl_multi_perform(m_multi->handle, &running);
-    deliverParts();
+    deliverBodies();
     finishTransfers();
     curl_waitfd extra{extraDescriptor, CURL_WAIT_POLLIN, 0};
     const unsigned extraCount = extraDescriptor < 0 ? 0 : 1;
@@ -319,17 +319,17 @@
     curl_multi_poll(m_multi->handle, &extra, extraCount,
                     static_cast<int>(std::max<std::int64_t>(0, wait)), &ready);
     curl_multi_perform(m_multi->handle, &running);
-    deliverParts();
+    deliverBodies();
     finishTransfers();
 }
 
-/// Not from libcurl's own callback, where no call may be started or ended.
-void HttpClient::deliverParts()
+/// Runs outside libcurl's callbacks, in which no call may be started or cancelled.
+void HttpClient::deliverBodies()
 {
-    for (const std::uint64_t id : std::exchange(m_withParts, {})) {
+    for (const std::uint64_t id : std::exchange(m_withBody, {})) {
         const auto found = m_transfers.find(id);
         if (found != m_transfers.end()) {
-            found->second->deliverPart();
+            found->second->deliverBody();
         }
     }
 }
@@ -345,13 +345,13 @@
         curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &user);
         const CURLcode code = message->data.result;
         const auto found = m_transfers.find(static_cast<const Transfer *>(user)->id());
-        assert(found != m_transfers.end() && "a finished call is one that was started");
+        assert(found != m_transfers.end() && "a finished call must have been started");
         std::unique_ptr<Transfer> transfer = std::move(found->second);
         m_transfers.erase(found);
-        transfer->conclude(code);
+        transfer->finish(code);
         curl_multi_remove_handle(m_multi->handle, transfer->easy());
-        // The callback may start and cancel calls: nothing of this one is used after it.
-        transfer->takeDone()(transfer->takeResult());
+        // The callback may start and cancel calls; this transfer is not used after it.
+        transfer->takeCallback()(transfer->takeResult());
     }
 }
 
--- a/lib/Adapters/httpserver.cpp
+++ b/lib/Adapters/httpserver.cpp
@@ -1,4 +1,4 @@
-//===- httpserver.cpp - Incoming HTTP -------------------------------------===//
+//===- httpserver.cpp - HTTP server ---------------------------------------===//
 
 #include "harelink/Adapters/httpserver.h"
 
@@ -16,21 +16,21 @@
 namespace harelink {
 namespace {
 
-/// Thrown where a connection's own operations run, for RESTinio to close that connection.
-class ReplyCut : public std::runtime_error
+/// Thrown in a connection's write notification so that RESTinio closes the connection.
+class ReplyAborted : public std::runtime_error
 {
 public:
-    ReplyCut()
-        : std::runtime_error("the reply is cut")
+    ReplyAborted()
+        : std::runtime_error("the reply is aborted")
     {
     }
 };
 
-/// Tells of connections that ended.
-class ClosedListener
+/// Reports closed connections.
+class ConnectionListener
 {
 public:
-    explicit ClosedListener(std::function<void(std::uint64_t)> onClosed)
+    explicit ConnectionListener(std::function<void(std::uint64_t)> onClosed)
         : m_onClosed(std::move(onClosed))
     {
     }
@@ -54,23 +54,23 @@
 {
     // RESTinio looks for this very name.
     // NOLINTNEXTLINE(readability-identifier-naming)
-    using connection_state_listener_t = ClosedListener;
+    using connection_state_listener_t = ConnectionListener;
 };
 
-/// Longer than any deadline that a pipeline may have.
-constexpr std::chrono::minutes handlingLimit{11};
-/// While a request is handled its connection is read on, or a caller that leaves would
-/// go unnoticed; what comes then waits here.
+/// Exceeds the maximum deadline of a pipeline.
+constexpr std::chrono::minutes maxHandlingTime{11};
+/// With room for a second request, the connection is read while a request is handled;
+/// otherwise a disconnecting caller would not be noticed.
 constexpr std::size_t pipelinedRequests = 2;
-/// How often RESTinio looks at its time limits, which are all of seconds.
+/// Interval in which RESTinio checks its time limits, which are all several seconds.
 constexpr std::chrono::milliseconds timerInterval{1000};
-constexpr std::size_t largestHeaderField = 16'384;
+constexpr std::size_t maxHeaderFieldBytes = 16'384;
 
 std::map<std::string, std::string> readQuery(restinio::string_view_t text)
 {
     std::map<std::string, std::string> values;
-    // A query that cannot be decoded reads as empty, and the handler then
-    // misses the parameters that it needs.
+    // An invalid query is treated as empty; the handler then reports the missing
+    // parameters.
     const auto parsed = restinio::try_parse_query<restinio::parse_query_traits::relaxed>(text);
     if (parsed) {
         for (const auto &[name, value] : *parsed) {
@@ -99,7 +99,7 @@
     return request;
 }
 
-/// Sends the reply to one request, whole or in parts.
+/// Sends the reply to one request, at once or in chunks.
 class ReplySender
 {
 public:
@@ -111,7 +111,7 @@
     void send(HttpReply reply)
     {
         if (reply.abort) {
-            cut(reply);
+            abortReply(reply);
             return;
         }
         if (!reply.more && !m_chunks) {
@@ -137,20 +137,20 @@
     }
 
 private:
-    /// Ends the connection after what was handed over before, without the end of the reply.
+    /// Closes the connection after the chunks queued before, without the end of the reply.
     ///
-    /// RESTinio has no call for it. It closes a connection whose notification of a write
-    /// throws, and gives notifications where all operations of that connection run: nobody
-    /// else's socket can be touched, and one that ended meanwhile is left alone. A cut
-    /// takes the same time with 4,000 open connections as with 10 (harelink-bench-cut).
-    void cut(const HttpReply &reply)
+    /// RESTinio has no function for this, but closes a connection whose write notification
+    /// throws. Notifications run on the strand of their connection, so that no other socket is
+    /// affected and a connection that closed in the meantime is ignored. Aborting takes the
+    /// same time with 4,000 open connections as with 10 (harelink-bench-cut).
+    void abortReply(const HttpReply &reply)
     {
         if (!m_chunks) {
             m_chunks.emplace(begin<restinio::chunked_output_t>(reply));
         }
         m_chunks->flush([](const std::error_code &error) {
             if (!error) {
-                throw ReplyCut();
+                throw ReplyAborted();
             }
         });
     }
@@ -195,18 +195,18 @@
 std::vector<std::string> HttpRequest::pathParts() const
 {
     std::vector<std::string> parts;
-    std::size_t at = 0;
-    while (at < path.size()) {
-        const std::size_t end = std::min(path.find('/', at), path.size());
-        if (end > at) {
-            parts.push_back(path.substr(at, end - at));
+    std::size_t offset = 0;
+    while (offset < path.size()) {
+        const std::size_t end = std::min(path.find('/', offset), path.size());
+        if (end > offset) {
+            parts.push_back(path.substr(offset, end - offset));
         }
-        at = end + 1;
+        offset = end + 1;
     }
     return parts;
 }
 
-/// What RESTinio needs to run.
+/// State of the RESTinio server.
 struct HttpServer::State
 {
     asio::io_context context;
@@ -236,13 +236,13 @@
         restinio::server_settings_t<Traits>()
             .address(ip)
             .port(port)
-            .handle_request_timeout(handlingLimit)
+            .handle_request_timeout(maxHandlingTime)
             .read_next_http_message_timelimit(options.idleLimit)
             .max_pipelined_requests(pipelinedRequests)
             .timer_manager(timerInterval)
-            .connection_state_listener(std::make_shared<ClosedListener>(options.onClosed))
+            .connection_state_listener(std::make_shared<ConnectionListener>(options.onClosed))
             .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
-                                          .max_field_value_size(largestHeaderField)
+                                          .max_field_value_size(maxHeaderFieldBytes)
                                           .max_body_size(options.maxBodyBytes))
             .socket_options_setter(
                 [](auto &socket) { socket.set_option(asio::ip::tcp::no_delay{true}); })
--- a/lib/Adapters/noticereader.cpp
+++ b/lib/Adapters/noticereader.cpp
@@ -1,4 +1,4 @@
-//===- noticereader.cpp - Words of endpoints ------------------------------===//
+//===- noticereader.cpp - Endpoint notices --------------------------------===//
 
 #include "harelink/Adapters/noticereader.h"
 
@@ -13,27 +13,27 @@
 
 constexpr int statusTooManyRequests = 429;
 constexpr int statusUnavailable = 503;
-/// Larger values are taken for errors of the endpoint.
-constexpr double highestRate = 1e6;
-constexpr double longestPauseSeconds = 3600;
-constexpr double longestColdMillis = 3'600'000;
-/// Characters of an unreadable value that are kept for the log.
-constexpr std::size_t mostShown = 40;
+/// Larger values are treated as errors of the endpoint.
+constexpr double maxRate = 1e6;
+constexpr double maxPauseSeconds = 3600;
+constexpr double maxColdMillis = 3'600'000;
+/// Maximum number of characters of an invalid value in the log.
+constexpr std::size_t maxLoggedLength = 40;
 
-/// The number from 0 to \p most that \p text is, or nothing.
-std::optional<double> readNumber(const std::string &text, double most)
+/// Parses a number from 0 to \p max; std::nullopt if \p text is anything else.
+std::optional<double> readNumber(const std::string &text, double max)
 {
     double value = 0;
     const char *end = text.data() + text.size();
     const auto [rest, error] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
     const bool isNumber = error == std::errc() && rest == end && std::isfinite(value);
-    return isNumber && value >= 0 && value <= most ? std::optional<double>(value) : std::nullopt;
+    return isNumber && value >= 0 && value <= max ? std::optional<double>(value) : std::nullopt;
 }
 
-/// Records in \p notice that the field called \p name holds no sensible value.
+/// Records in \p notice that the value of the field \p name is invalid.
 void setUnreadable(EndpointNotice &notice, const std::string &name, const std::string &value)
 {
-    notice.unreadable = fmt::format("{}: {}", name, value.substr(0, mostShown));
+    notice.unreadable = fmt::format("{}: {}", name, value.substr(0, maxLoggedLength));
 }
 
 } // namespace
@@ -42,7 +42,7 @@
 {
     EndpointNotice notice;
     if (const std::string limit = result.header(names.rateLimit); !limit.empty()) {
-        notice.requestsPerSecond = readNumber(limit, highestRate);
+        notice.requestsPerSecond = readNumber(limit, maxRate);
         notice.isLimitUnreadable = !notice.requestsPerSecond;
         if (notice.isLimitUnreadable) {
             setUnreadable(notice, names.rateLimit, limit);
@@ -55,17 +55,17 @@
         }
     }
     if (const std::string cold = result.header(names.coldMillis); !cold.empty()) {
-        if (const std::optional<double> millis = readNumber(cold, longestColdMillis)) {
+        if (const std::optional<double> millis = readNumber(cold, maxColdMillis)) {
             notice.coldFor = std::chrono::duration_cast<Duration>(
                 std::chrono::duration<double, std::milli>(*millis));
         } else {
             setUnreadable(notice, names.coldMillis, cold);
         }
     }
-    const bool asksForPause =
+    const bool requestsPause =
         result.headStatus == statusTooManyRequests || result.headStatus == statusUnavailable;
-    if (const std::string pause = result.header("retry-after"); asksForPause && !pause.empty()) {
-        if (const std::optional<double> seconds = readNumber(pause, longestPauseSeconds)) {
+    if (const std::string pause = result.header("retry-after"); requestsPause && !pause.empty()) {
+        if (const std::optional<double> seconds = readNumber(pause, maxPauseSeconds)) {
             notice.pause =
                 std::chrono::duration_cast<Duration>(std::chrono::duration<double>(*seconds));
         } else {
--- a/lib/Adapters/peercodec.cpp
+++ b/lib/Adapters/peercodec.cpp
@@ -70,14 +70,14 @@
     to.endpoints = from.endpoints();
     to.slowness = from.slowness();
     to.correction = from.correction() > 0 ? static_cast<double>(from.correction()) : 1.0;
-    const auto told = static_cast<std::size_t>(from.waiting_size());
-    std::copy_n(from.waiting().begin(), std::min(to.waiting.size(), told), to.waiting.begin());
+    const auto count = static_cast<std::size_t>(from.waiting_size());
+    std::copy_n(from.waiting().begin(), std::min(to.waiting.size(), count), to.waiting.begin());
     return to;
 }
 
-/// Writes and reads the lists that heartbeats and summaries have in common.
+/// Writes the lists that heartbeats and summaries share.
 template <typename Content, typename Wire>
-void writeFigures(const Content &from, Wire &to)
+void writeSharedLists(const Content &from, Wire &to)
 {
     to.set_leaving_known(from.leavingKnown);
     for (const UsageReport &report : from.usage) {
@@ -108,7 +108,7 @@
 }
 
 template <typename Content, typename Wire>
-void readFigures(const Wire &from, Content &to)
+void readSharedLists(const Wire &from, Content &to)
 {
     to.leavingKnown = from.leaving_known();
     for (const wire::Usage &usage : from.usage()) {
@@ -123,8 +123,8 @@
         to.prompts.push_back({prompt.endpoint(), prompt.tokens()});
     }
     for (const wire::EndpointLimit &limit : from.limits()) {
-        const bool isSensible = limit.per_second() >= 0 && limit.stated_micros_ago() >= 0;
-        if (isSensible) {
+        const bool isValid = limit.per_second() >= 0 && limit.stated_micros_ago() >= 0;
+        if (isValid) {
             to.limits.push_back(
                 {limit.endpoint(),
                  limit.lifted() ? std::nullopt : std::optional<double>(limit.per_second()),
@@ -133,13 +133,13 @@
     }
 }
 
-/// A daemon of an older version tells none.
-double capacityOf(float told)
+/// Returns the capacity of a daemon; 1 if absent, as in messages of older versions.
+double capacityOf(float reported)
 {
-    return told > 0 ? static_cast<double>(told) : 1.0;
+    return reported > 0 ? static_cast<double>(reported) : 1.0;
 }
 
-/// Writes each kind of content into its field.
+/// Writes each kind of content to its protobuf field.
 class Writer
 {
 public:
@@ -159,7 +159,7 @@
         to.set_config_summary(from.configSummary);
         to.set_watches(from.watches);
         to.set_hosts_known(from.knownHostsHash);
-        writeFigures(from, to);
+        writeSharedLists(from, to);
     }
     void operator()(const PeerSummary &from) const
     {
@@ -169,7 +169,7 @@
         to.set_watched(from.hasWatcher);
         to.set_hosts_hash(from.hostsHash);
         to.set_has_hosts(from.hasHosts);
-        writeFigures(from, to);
+        writeSharedLists(from, to);
         for (const HostReport &host : from.hosts) {
             wire::HostReport &item = *to.add_hosts();
             item.set_host(host.host);
@@ -319,7 +319,7 @@
     to.configSummary = from.config_summary();
     to.watches = from.watches();
     to.knownHostsHash = from.hosts_known();
-    readFigures(from, to);
+    readSharedLists(from, to);
     return to;
 }
 
@@ -331,7 +331,7 @@
     to.hasWatcher = from.watched();
     to.hostsHash = from.hosts_hash();
     to.hasHosts = from.has_hosts();
-    readFigures(from, to);
+    readSharedLists(from, to);
     for (const wire::HostReport &item : from.hosts()) {
         to.hosts.push_back({item.host(), item.data_centre(), item.address(), item.incarnation(),
                             item.leaving(), capacityOf(item.capacity())});
@@ -363,7 +363,7 @@
     return to;
 }
 
-/// Nothing where an outcome is of no known kind.
+/// Returns std::nullopt if the fault of an outcome is unknown.
 std::optional<PieceOutcomes> read(const wire::PieceOutcomes &from)
 {
     PieceOutcomes to;
@@ -430,7 +430,7 @@
     return to;
 }
 
-/// Reads the content; false where it is of no known kind.
+/// Reads the content; returns false if its kind is unknown or a value is invalid.
 bool readContent(const wire::PeerMessage &from, PeerMessage &to)
 {
     switch (from.content_case()) {
--- a/lib/Adapters/peerlink.cpp
+++ b/lib/Adapters/peerlink.cpp
@@ -18,33 +18,34 @@
 namespace {
 
 constexpr Logger logger("peerlink");
-/// Messages that wait for a peer that is slow; more are dropped.
-constexpr int sendQueue = 10'000;
-/// The largest message that is taken in: a whole configuration fits.
-constexpr std::int64_t largestMessage = 16'000'000;
-/// A message waits so long for the first connection to its peer. Without it the first
-/// order of each daemon at each batcher was lost, and made up for 0.9 s later; later than
-/// this it would be of no use.
-constexpr std::chrono::milliseconds connectingTime{300};
-/// How often it is tried meanwhile: a connection takes a round trip of a millisecond or two.
+/// Maximum number of messages queued for a slow peer; further ones are dropped.
+constexpr int sendQueueLength = 10'000;
+/// Maximum size of a received message, in bytes; a complete configuration fits.
+constexpr std::int64_t maxMessageBytes = 16'000'000;
+/// Maximum time for which a message is queued until the first connection to its peer is
+/// established. Without the queue, the first order of each daemon to each batcher was lost and
+/// repeated only 0.9 s later. After a longer time the message would be useless.
+constexpr std::chrono::milliseconds maxConnectingTime{300};
+/// Interval between send attempts for queued messages: connecting takes a round trip of one
+/// or two milliseconds.
 constexpr std::chrono::milliseconds flushInterval{3};
 
 } // namespace
 
-/// The way to a peer.
+/// The connection to a peer.
 struct PeerLink::Sender
 {
     zmq::socket_t socket;
     TimePoint connectedAt;
 };
 
-/// The sockets, which must end before their context.
+/// The sockets, which must be closed before their context.
 struct PeerLink::Sockets
 {
     zmq::context_t context{1};
     std::unique_ptr<CurveAuthenticator> authenticator;
     std::optional<PeerKeys> keys;
-    std::string serverKey; ///< Of the receivers that are connected to.
+    std::string serverKey; ///< Public key of the receivers to connect to.
     zmq::socket_t receiver{context, zmq::socket_type::pull};
     std::map<std::string, Sender> senders; ///< By address.
 
@@ -53,7 +54,7 @@
     {
         senders.clear();
         receiver.close();
-        // Ends the authenticator's wait.
+        // Unblocks the authenticator's thread.
         context.shutdown();
     }
     Sockets(const Sockets &) = delete;
@@ -67,8 +68,8 @@
         }
         zmq::socket_t socket(context, zmq::socket_type::push);
         socket.set(zmq::sockopt::linger, 0);
-        socket.set(zmq::sockopt::sndhwm, sendQueue);
-        // Nothing is kept for a peer that is not there: it would come late.
+        socket.set(zmq::sockopt::sndhwm, sendQueueLength);
+        // Doesn't queue messages for an unreachable peer: they would arrive too late.
         socket.set(zmq::sockopt::immediate, true);
         if (keys) {
             socket.set(zmq::sockopt::curve_serverkey, serverKey);
@@ -120,7 +121,7 @@
 {
     try {
         m_sockets->receiver.set(zmq::sockopt::linger, 0);
-        m_sockets->receiver.set(zmq::sockopt::maxmsgsize, largestMessage);
+        m_sockets->receiver.set(zmq::sockopt::maxmsgsize, maxMessageBytes);
         m_sockets->receiver.bind("tcp://" + address);
     } catch (const zmq::error_t &error) {
         return makeError(absl::StatusCode::kUnavailable, "listening for peers", address,
@@ -148,8 +149,8 @@
     return true;
 }
 
-/// The way to \p address; null where that is no address: others tell it, and may be wrong.
-/// The log tells of each once.
+/// Returns the sender for \p address; null if the address, which other daemons report, is
+/// invalid. Each invalid address is logged once.
 PeerLink::Sender *PeerLink::findSender(const std::string &address, TimePoint now)
 {
     if (m_unusableAddresses.contains(address)) {
@@ -177,12 +178,12 @@
     if (sendNow(send.address, bytes)) {
         return;
     }
-    const TimePoint until = sender->connectedAt + connectingTime;
-    if (now >= until) {
+    const TimePoint expiresAt = sender->connectedAt + maxConnectingTime;
+    if (now >= expiresAt) {
         ++m_counters.dropped;
         return;
     }
-    m_waiting.push_back({send.address, std::move(bytes), until});
+    m_pending.push_back({send.address, std::move(bytes), expiresAt});
     m_nextFlush = std::min<TimePoint>(m_nextFlush, now + flushInterval);
 }
 
@@ -191,15 +192,15 @@
     if (now < m_nextFlush) {
         return;
     }
-    std::erase_if(m_waiting, [this, now](const PendingMessage &message) {
+    std::erase_if(m_pending, [this, now](const PendingMessage &message) {
         if (sendNow(message.address, message.bytes)) {
             return true;
         }
-        const bool over = now >= message.until;
-        m_counters.dropped += over ? 1 : 0;
-        return over;
+        const bool isExpired = now >= message.expiresAt;
+        m_counters.dropped += isExpired ? 1 : 0;
+        return isExpired;
     });
-    m_nextFlush = m_waiting.empty() ? TimePoint::max() : TimePoint(now + flushInterval);
+    m_nextFlush = m_pending.empty() ? TimePoint::max() : TimePoint(now + flushInterval);
 }
 
 std::optional<PeerMessage> PeerLink::receive()
--- a/lib/Adapters/platformclient.cpp
+++ b/lib/Adapters/platformclient.cpp
@@ -67,7 +67,7 @@
     case 0:
         return result.sent ? PlatformOutcome::Unanswered : PlatformOutcome::Refused;
     default:
-        // A server's fault leaves open whether the call took effect.
+        // After a server error it is unknown whether the call took effect.
         return PlatformOutcome::Unanswered;
     }
 }
@@ -103,7 +103,7 @@
         http.url = fmt::format("http://{}/v1/hosts", address);
         break;
     }
-    // The kernel settles a lost answer itself, by the version.
+    // The kernel resolves lost answers itself by comparing versions.
     http.resendable =
         call.operation != PlatformOperation::Put && call.operation != PlatformOperation::Delete;
     return http;
@@ -120,7 +120,7 @@
     try {
         readBody(nlohmann::json::parse(http.body), result);
     } catch (const nlohmann::json::exception &) {
-        // An answer that cannot be read is as good as none.
+        // An invalid answer counts as unanswered.
         result.outcome = PlatformOutcome::Unanswered;
     }
     return result;
--- a/lib/Adapters/snapshotcell.cpp
+++ b/lib/Adapters/snapshotcell.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 // liburcu is not built for ThreadSanitizer, which cannot see that a grace
-// period orders the readers' sections before the deletion. These two say so.
-void tellReadEnds(const void *cell)
+// period orders the read-side sections before the deletion. These two functions
+// annotate this order.
+void annotateReadEnd(const void *cell)
 {
 #if defined(__SANITIZE_THREAD__)
     __tsan_release(const_cast<void *>(cell));
@@ -22,7 +23,7 @@
 #endif
 }
 
-void tellGracePeriodOver(const void *cell)
+void annotateGracePeriodEnd(const void *cell)
 {
 #if defined(__SANITIZE_THREAD__)
     __tsan_acquire(const_cast<void *>(cell));
@@ -62,16 +63,16 @@
 
 SnapshotCell::Reader::~Reader()
 {
-    tellReadEnds(&m_cell);
+    annotateReadEnd(&m_cell);
     urcu_memb_read_unlock();
 }
 
 void SnapshotCell::publish(std::unique_ptr<const Snapshot> next)
 {
-    const Snapshot *before = m_current.exchange(next.release(), std::memory_order_acq_rel);
+    const Snapshot *old = m_current.exchange(next.release(), std::memory_order_acq_rel);
     urcu_memb_synchronize_rcu();
-    tellGracePeriodOver(this);
-    delete before;
+    annotateGracePeriodEnd(this);
+    delete old;
 }
 
 } // namespace harelink
--- a/lib/Adapters/stageprotocol.cpp
+++ b/lib/Adapters/stageprotocol.cpp
@@ -1,4 +1,4 @@
-//===- stageprotocol.cpp - Talking to endpoints ---------------------------===//
+//===- stageprotocol.cpp - Endpoint protocols -----------------------------===//
 
 #include "harelink/Adapters/stageprotocol.h"
 
@@ -22,23 +22,24 @@
 constexpr int statusTooManyRequests = 429;
 constexpr int statusUnavailable = 503;
 
-/// The endpoint's own time, from the standard Server-Timing header: "run;dur=12.5".
+/// Returns the processing time from the standard header Server-Timing ("run;dur=12.5"); zero if
+/// absent.
 Duration readServerTiming(const std::string &header)
 {
-    constexpr std::string_view mark = "dur=";
-    const std::size_t at = header.find(mark);
+    constexpr std::string_view prefix = "dur=";
+    const std::size_t at = header.find(prefix);
     double millis = 0;
     if (at == std::string::npos) {
         return {};
     }
-    const char *begin = header.data() + at + mark.size();
+    const char *begin = header.data() + at + prefix.size();
     if (std::from_chars(begin, header.data() + header.size(), millis).ec != std::errc()) {
         return {};
     }
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(millis));
 }
 
-/// The load report that came with an answer, or -1.
+/// Returns the number of active requests that the endpoint reports; -1 if absent.
 int readActive(const std::string &header)
 {
     int active = -1;
@@ -152,35 +153,35 @@
 
 std::vector<StageChunk> StageStream::handleBody(const HttpResult &head, const std::string &body)
 {
-    std::vector<StageChunk> pieces;
+    std::vector<StageChunk> chunks;
     if (head.header("content-type").rfind(eventStreamType, 0) != 0) {
-        m_refusal += body;
-        return pieces;
+        m_plainBody += body;
+        return chunks;
     }
     m_reader.feed(body);
-    while (m_fault.empty() && !m_ended) {
+    while (m_decodeError.empty() && !m_ended) {
         const std::optional<std::string> data = m_reader.next();
         if (!data) {
             break;
         }
         const absl::StatusOr<StreamEvent> event = m_protocol.decodeEvent(*data);
         if (!event.ok()) {
-            m_fault = errorMessage(event.status());
+            m_decodeError = errorMessage(event.status());
             break;
         }
         m_ended = event->isLast;
         if (event->text.empty()) {
             continue;
         }
-        StageChunk piece;
-        piece.call = m_stage.call;
-        piece.echoed = callIdOf(head);
-        piece.firstToken = m_tokens++;
-        piece.text = event->text;
+        StageChunk chunk;
+        chunk.call = m_stage.call;
+        chunk.echoed = callIdOf(head);
+        chunk.firstToken = m_tokens++;
+        chunk.text = event->text;
         m_text += event->text;
-        pieces.push_back(std::move(piece));
+        chunks.push_back(std::move(chunk));
     }
-    return pieces;
+    return chunks;
 }
 
 std::variant<StageAnswered, StageFailed> StageStream::finish(const HttpResult &result) const
@@ -188,11 +189,11 @@
     const bool isStream = result.header("content-type").rfind(eventStreamType, 0) == 0;
     if (result.status != statusOk || !isStream) {
         HttpResult refusal = result;
-        refusal.body = m_refusal;
+        refusal.body = m_plainBody;
         return decodeStage(m_protocol, m_stage, refusal);
     }
-    if (!m_fault.empty()) {
-        return stageFailure(m_stage, SendEvidence::Sent, m_fault);
+    if (!m_decodeError.empty()) {
+        return stageFailure(m_stage, SendEvidence::Sent, m_decodeError);
     }
     if (!m_ended) {
         return truncatedAnswer(m_stage, "the stream ended before its last event");
--- a/lib/Plugins/owndialect.cpp
+++ b/lib/Plugins/owndialect.cpp
@@ -1,8 +1,8 @@
-//===- owndialect.cpp - The product's own dialect -------------------------===//
+//===- owndialect.cpp - harelink's own dialect ----------------------------===//
 ///
 /// \file
-/// "harelink": the object API and the callers' interface that the product defines
-/// itself, as its stand-ins speak them.
+/// The dialect "harelink": the object API and the callers' API that harelink itself
+/// defines and its stand-ins implement.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/lib/Plugins/stageprotocols.cpp
+++ b/lib/Plugins/stageprotocols.cpp
@@ -1,9 +1,9 @@
 //===- stageprotocols.cpp - Stage protocol plug-ins -----------------------===//
 ///
 /// \file
-/// "model-engine" speaks the usual completions call, "stage-pool" a plain call
-/// with the request and the answer of the stage before, "plain-service" passes
-/// the caller's body through.
+/// "model-engine" uses the common completions API, "stage-pool" a plain call with
+/// the request and the answer of the previous stage, and "plain-service" forwards
+/// the caller's body.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,14 +20,14 @@
 
 constexpr int defaultTokens = 64;
 
-/// A text as JSON, or as a JSON string where it is not JSON.
+/// Parses \p text as JSON; returns it as a JSON string if it is not JSON.
 nlohmann::json asJson(const std::string &text)
 {
     nlohmann::json parsed = nlohmann::json::parse(text, nullptr, false);
     return parsed.is_discarded() ? nlohmann::json(text) : parsed;
 }
 
-absl::Status unreadable()
+absl::Status decodeError()
 {
     return makeError(absl::StatusCode::kInternal, "decoding", "",
                      "the answer is not of the protocol");
@@ -70,7 +70,7 @@
         const nlohmann::json answer = nlohmann::json::parse(data, nullptr, false);
         const nlohmann::json *choice = firstChoice(answer);
         if (choice == nullptr || !choice->contains("text") || !(*choice)["text"].is_string()) {
-            return unreadable();
+            return decodeError();
         }
         event.text = (*choice)["text"].get<std::string>();
         return event;
@@ -84,26 +84,26 @@
         const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
         const nlohmann::json *choice = firstChoice(answer);
         if (choice == nullptr || !choice->contains("text") || !(*choice)["text"].is_string()) {
-            return unreadable();
+            return decodeError();
         }
-        // A completion that ended for another reason is not whole.
+        // A completion that ended for another reason is incomplete.
         const std::string reason = choice->value("finish_reason", "");
         if (reason != "stop" && reason != "length") {
-            return unreadable();
+            return decodeError();
         }
         return dump((*choice)["text"]);
     }
 
 private:
-    /// Lets the completion go on behind the tokens that the caller already has: they
-    /// become part of the prompt, as any completions call allows.
+    /// Resumes the completion after the tokens that the caller already has, by appending
+    /// them to the prompt.
     static void resume(const SendStage &stage, nlohmann::json &body)
     {
         body["prompt"] = body["prompt"].get<std::string>() + stage.textDelivered;
         if (body["max_tokens"].is_number_integer()) {
-            const auto wanted = body["max_tokens"].get<std::int64_t>();
-            const auto before = static_cast<std::int64_t>(stage.tokensDelivered);
-            body["max_tokens"] = std::max<std::int64_t>(0, wanted - before);
+            const auto tokenLimit = body["max_tokens"].get<std::int64_t>();
+            const auto delivered = static_cast<std::int64_t>(stage.tokensDelivered);
+            body["max_tokens"] = std::max<std::int64_t>(0, tokenLimit - delivered);
         }
     }
 
@@ -132,7 +132,7 @@
     {
         const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
         if (!answer.is_object() || !answer.contains("output")) {
-            return unreadable();
+            return decodeError();
         }
         return dump(answer["output"]);
     }
