--- a/lib/Config/jsonreader.cpp
+++ b/lib/Config/jsonreader.cpp
@@ -1,4 +1,4 @@
-//===- jsonreader.cpp - Checked reading of JSON ---------------------------===//
+//===- jsonreader.cpp - Validating JSON reader ----------------------------===//
 
 #include "harelink/Config/jsonreader.h"
 
@@ -15,7 +15,7 @@
 namespace harelink {
 namespace {
 
-constexpr std::size_t longestName = 63;
+constexpr std::size_t maxNameLength = 63;
 
 const nlohmann::json &emptyObject()
 {
@@ -28,7 +28,7 @@
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-';
 }
 
-bool isIpNumberAndPort(const std::string &text)
+bool isIpAddressAndPort(const std::string &text)
 {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string::npos) {
@@ -132,10 +132,10 @@
     if (value == nullptr) {
         return {};
     }
-    const bool areTexts = value->is_array()
-                          && std::all_of(value->begin(), value->end(),
-                                         [](const auto &item) { return item.is_string(); });
-    if (!areTexts) {
+    const bool areStrings = value->is_array()
+                            && std::all_of(value->begin(), value->end(),
+                                           [](const auto &item) { return item.is_string(); });
+    if (!areStrings) {
         fault(field, "must be a list of texts");
         return {};
     }
@@ -187,7 +187,7 @@
     if (value.empty()) {
         return value;
     }
-    if (value.size() > longestName || !std::all_of(value.begin(), value.end(), isNameCharacter)) {
+    if (value.size() > maxNameLength || !std::all_of(value.begin(), value.end(), isNameCharacter)) {
         fault(field, "must be a name of at most 63 lower-case letters, digits and '-'");
     }
     return value;
@@ -262,7 +262,7 @@
 std::string JsonReader::endpointAddress(const std::string &field)
 {
     std::string value = text(field);
-    if (!value.empty() && !isIpNumberAndPort(value)) {
+    if (!value.empty() && !isIpAddressAndPort(value)) {
         fault(field, "must be an ip number and a port, as in 127.0.0.1:8080");
     }
     return value;
--- a/lib/Config/objectreader.cpp
+++ b/lib/Config/objectreader.cpp
@@ -1,4 +1,4 @@
-//===- objectreader.cpp - Stored declarations -----------------------------===//
+//===- objectreader.cpp - Stored object parsing ---------------------------===//
 
 #include "harelink/Config/objectreader.h"
 
--- a/lib/Config/resources.cpp
+++ b/lib/Config/resources.cpp
@@ -15,18 +15,21 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds shortestDeadline{1};
-constexpr milliseconds longestDeadline{600'000};
-constexpr std::int64_t mostSlots = 4096;
-constexpr double heaviestWeight = 1e6;
+constexpr milliseconds minDeadline{1};
+constexpr milliseconds maxDeadline{600'000};
+constexpr std::int64_t maxSlots = 4096;
+/// Upper bound of weights, costs and rates.
+constexpr double maxWeight = 1e6;
 constexpr std::size_t sha256Digits = 64;
 
-constexpr std::int64_t mostPriority = 9;
-constexpr std::int64_t mostEndpointsTried = 16;
-constexpr std::int64_t largestBatch = 4096;
-constexpr std::int64_t largestRoom = std::int64_t{1} << 40;
-constexpr std::size_t mostSplits = 16;
-constexpr milliseconds longestTime{600'000};
+constexpr std::int64_t maxPriority = 9;
+constexpr std::int64_t maxRouteEndpoints = 16;
+/// Upper bound of batch sizes, in pieces, and queue lengths, in calls.
+constexpr std::int64_t maxBatchSize = 4096;
+/// Upper bound of result and buffer sizes, in bytes, and cache sizes, in tokens.
+constexpr std::int64_t maxSize = std::int64_t{1} << 40;
+constexpr std::size_t maxSplitPools = 16;
+constexpr milliseconds maxDuration{600'000};
 
 std::vector<PieceStageSpec> readPieceStages(JsonReader &reader)
 {
@@ -34,14 +37,13 @@
     for (JsonReader &stage : reader.objects("pieceStages", 0, maxStages)) {
         PieceStageSpec next;
         next.pool = stage.name("pool");
-        for (const std::int64_t before : stage.integers("after", 0, std::int64_t(maxStages))) {
-            if (static_cast<std::size_t>(before) >= stages.size()) {
+        for (const std::int64_t dependency : stage.integers("after", 0, std::int64_t(maxStages))) {
+            if (static_cast<std::size_t>(dependency) >= stages.size()) {
                 stage.fault("after", "may name earlier stages only");
             }
-            next.after.push_back(static_cast<std::uint32_t>(before));
+            next.after.push_back(static_cast<std::uint32_t>(dependency));
         }
-        next.resultBytes =
-            static_cast<std::uint64_t>(stage.integer("resultBytes", 0, largestRoom, 0));
+        next.resultBytes = static_cast<std::uint64_t>(stage.integer("resultBytes", 0, maxSize, 0));
         stage.finish();
         stages.push_back(std::move(next));
     }
@@ -57,8 +59,8 @@
         || spec.pathPrefix.back() != '/') {
         reader.fault("pathPrefix", "must begin and end with a slash");
     }
-    for (JsonReader &share : reader.objects("split", 1, mostSplits)) {
-        spec.split.push_back({share.name("pool"), share.number("weight", 0, heaviestWeight, 1)});
+    for (JsonReader &share : reader.objects("split", 1, maxSplitPools)) {
+        spec.split.push_back({share.name("pool"), share.number("weight", 0, maxWeight, 1)});
         share.finish();
     }
     spec.pieceStages = readPieceStages(reader);
@@ -66,14 +68,13 @@
     spec.resumable = reader.boolean("resumable", false);
     spec.isPublic = reader.boolean("public", false);
     spec.maxEndpoints =
-        static_cast<std::uint32_t>(reader.integer("mostEndpoints", 1, mostEndpointsTried, 1));
-    spec.priority = static_cast<int>(reader.integer("priority", 0, mostPriority, 0));
-    spec.objective =
-        reader.milliseconds("objectiveMs", shortestDeadline, longestDeadline, spec.objective);
+        static_cast<std::uint32_t>(reader.integer("mostEndpoints", 1, maxRouteEndpoints, 1));
+    spec.priority = static_cast<int>(reader.integer("priority", 0, maxPriority, 0));
+    spec.objective = reader.milliseconds("objectiveMs", minDeadline, maxDeadline, spec.objective);
     spec.maxEventInterval =
-        reader.milliseconds("longestPauseMs", milliseconds(0), longestTime, spec.maxEventInterval);
+        reader.milliseconds("longestPauseMs", milliseconds(0), maxDuration, spec.maxEventInterval);
     spec.clientTimeout =
-        reader.milliseconds("patienceMs", milliseconds(0), longestTime, spec.clientTimeout);
+        reader.milliseconds("patienceMs", milliseconds(0), maxDuration, spec.clientTimeout);
     spec.allowedRegions = reader.texts("allowedRegions");
     reader.finish();
     return spec;
@@ -87,8 +88,8 @@
         spec.route = readRoute(reader.object("route"));
     }
     std::set<std::string> seen;
-    const std::size_t leastStages = spec.route ? 0 : 1;
-    for (JsonReader &stage : reader.objects("stages", leastStages, spec.route ? 0 : maxStages)) {
+    const std::size_t minStages = spec.route ? 0 : 1;
+    for (JsonReader &stage : reader.objects("stages", minStages, spec.route ? 0 : maxStages)) {
         StageSpec next{stage.name("name"), stage.name("pool")};
         if (!seen.insert(next.name).second) {
             stage.fault("name", "stands twice in this pipeline");
@@ -97,8 +98,7 @@
         spec.stages.push_back(std::move(next));
     }
     spec.repeatable = reader.boolean("repeatable", true);
-    spec.deadline =
-        reader.milliseconds("deadlineMs", shortestDeadline, longestDeadline, spec.deadline);
+    spec.deadline = reader.milliseconds("deadlineMs", minDeadline, maxDeadline, spec.deadline);
     spec.maxBodyBytes = static_cast<std::size_t>(
         reader.integer("largestBodyBytes", 1, maxObjectBytes, std::int64_t(spec.maxBodyBytes)));
     return spec;
@@ -108,7 +108,7 @@
 {
     ClientAccountSpec spec;
     spec.name = name;
-    spec.weight = reader.number("weight", 1e-3, heaviestWeight, 1);
+    spec.weight = reader.number("weight", 1e-3, maxWeight, 1);
     spec.tokenSha256 = reader.text("tokenSha256", "");
     if (!spec.tokenSha256.empty()
         && (spec.tokenSha256.size() != sha256Digits
@@ -117,7 +117,7 @@
     }
     spec.apiKeys = reader.texts("apiKeys");
     if (reader.has("priority")) {
-        spec.priority = static_cast<int>(reader.integer("priority", 0, mostPriority));
+        spec.priority = static_cast<int>(reader.integer("priority", 0, maxPriority));
     }
     spec.allowedRegions = reader.texts("allowedRegions");
     return spec;
@@ -132,16 +132,15 @@
 PieceWorkSpec readPieceWork(JsonReader reader)
 {
     PieceWorkSpec spec;
-    spec.batch = static_cast<std::uint32_t>(reader.integer("batch", 1, largestBatch, 1));
-    spec.queue = static_cast<std::uint32_t>(reader.integer("queue", 0, largestBatch, 0));
-    spec.callTime = reader.milliseconds("callMs", milliseconds(0), longestTime, milliseconds(0));
-    const double pieceMs = reader.number("pieceMs", 0, static_cast<double>(longestTime.count()), 0);
+    spec.batch = static_cast<std::uint32_t>(reader.integer("batch", 1, maxBatchSize, 1));
+    spec.queue = static_cast<std::uint32_t>(reader.integer("queue", 0, maxBatchSize, 0));
+    spec.callTime = reader.milliseconds("callMs", milliseconds(0), maxDuration, milliseconds(0));
+    const double pieceMs = reader.number("pieceMs", 0, static_cast<double>(maxDuration.count()), 0);
     spec.pieceTime = std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::duration<double, std::milli>(pieceMs));
-    spec.resultBufferBytes =
-        static_cast<std::uint64_t>(reader.integer("roomBytes", 0, largestRoom, 0));
+    spec.resultBufferBytes = static_cast<std::uint64_t>(reader.integer("roomBytes", 0, maxSize, 0));
     spec.resultTtl =
-        reader.milliseconds("resultLifeMs", milliseconds(0), longestTime, milliseconds(0));
+        reader.milliseconds("resultLifeMs", milliseconds(0), maxDuration, milliseconds(0));
     reader.finish();
     return spec;
 }
@@ -149,7 +148,7 @@
 ModelEngineSpec readModelEngine(JsonReader reader)
 {
     ModelEngineSpec spec;
-    spec.cacheTokens = static_cast<std::uint64_t>(reader.integer("cacheTokens", 0, largestRoom, 0));
+    spec.cacheTokens = static_cast<std::uint64_t>(reader.integer("cacheTokens", 0, maxSize, 0));
     reader.finish();
     return spec;
 }
@@ -160,7 +159,7 @@
     spec.name = name;
     spec.protocol = reader.choice(
         "protocol", {"model-engine", "stage-pool", "plain-service", "carried", "pieces"});
-    spec.costPerSecond = reader.number("costPerSecond", 0, heaviestWeight, 1);
+    spec.costPerSecond = reader.number("costPerSecond", 0, maxWeight, 1);
     spec.hasPromptCache = reader.boolean("keepsPrompts", false);
     if (reader.has("pieces")) {
         spec.pieces = readPieceWork(reader.object("pieces"));
@@ -168,8 +167,8 @@
     if (reader.has("engine")) {
         spec.engine = readModelEngine(reader.object("engine"));
     }
-    spec.coldTime = reader.milliseconds("coldMs", milliseconds(0), longestTime, milliseconds(0));
-    spec.coldRate = reader.number("coldRequestsPerSecond", 0, heaviestWeight, 0);
+    spec.coldTime = reader.milliseconds("coldMs", milliseconds(0), maxDuration, milliseconds(0));
+    spec.coldRate = reader.number("coldRequestsPerSecond", 0, maxWeight, 0);
     spec.statusPath = reader.text("statusPath", "");
     return spec;
 }
@@ -181,20 +180,21 @@
     spec.pool = reader.name("pool");
     spec.address = reader.endpointAddress("address");
     spec.dataCentre = reader.name("dataCentre");
-    spec.slots = static_cast<int>(reader.integer("slots", 1, mostSlots, 1));
+    spec.slots = static_cast<int>(reader.integer("slots", 1, maxSlots, 1));
     spec.refusesBeforeRunning = reader.boolean("refusesBeforeRunning", false);
     spec.checksFencing = reader.boolean("checksFencing", false);
     spec.leaving = reader.boolean("leaving", false);
     if (reader.has("coldMs")) {
-        spec.coldFor = reader.milliseconds("coldMs", milliseconds(0), longestTime, milliseconds(0));
+        spec.coldFor = reader.milliseconds("coldMs", milliseconds(0), maxDuration, milliseconds(0));
     }
     return spec;
 }
 
 ResourceSpec readQuarantine(const std::string &name, JsonReader &reader)
 {
-    // Milliseconds since 1970, so that the time until then is still a Duration (292 years).
-    constexpr std::int64_t latest = 9'000'000'000'000;
+    // In milliseconds since 1970. A Duration covers 292 years; the bound keeps the time until
+    // then within its range.
+    constexpr std::int64_t maxTimestampMs = 9'000'000'000'000;
     QuarantineSpec spec;
     const std::optional<Hash128> digest = parseHash(name);
     if (!digest) {
@@ -203,8 +203,8 @@
     spec.digest = digest.value_or(Hash128{});
     spec.pool = reader.text("pool");
     spec.endpoints = reader.texts("endpoints");
-    spec.since = WallTime(milliseconds(reader.integer("sinceMs", 0, latest)));
-    spec.until = WallTime(milliseconds(reader.integer("untilMs", 0, latest)));
+    spec.since = WallTime(milliseconds(reader.integer("sinceMs", 0, maxTimestampMs)));
+    spec.until = WallTime(milliseconds(reader.integer("untilMs", 0, maxTimestampMs)));
     return spec;
 }
 
@@ -320,10 +320,10 @@
         const std::vector<PieceStageSpec> &stages = pipeline->route->pieceStages;
         for (std::size_t i = 0; i < stages.size(); ++i) {
             check(pipeline->name, stages[i].pool);
-            for (const std::uint32_t before : stages[i].after) {
-                if (before >= i) {
+            for (const std::uint32_t dependency : stages[i].after) {
+                if (dependency >= i) {
                     faults.push_back(fmt::format("pipeline {}: stage {} comes after stage {}",
-                                                 pipeline->name, i, before));
+                                                 pipeline->name, i, dependency));
                 }
             }
         }
@@ -345,8 +345,8 @@
     std::vector<Resource> resources;
     Faults faults;
     for (std::size_t i = 0; i < documents.size(); ++i) {
-        const std::string place = fmt::format("{}[{}]", origin, i);
-        absl::StatusOr<Resource> resource = readResource(documents[i], place);
+        const std::string entryOrigin = fmt::format("{}[{}]", origin, i);
+        absl::StatusOr<Resource> resource = readResource(documents[i], entryOrigin);
         if (!resource.ok()) {
             faults.push_back(fmt::format("[{}] {}", i, errorMessage(resource.status())));
             continue;
--- a/lib/Config/settings.cpp
+++ b/lib/Config/settings.cpp
@@ -1,4 +1,4 @@
-//===- settings.cpp - The daemon's settings -------------------------------===//
+//===- settings.cpp - Daemon settings -------------------------------------===//
 
 #include "harelink/Config/settings.h"
 
@@ -10,8 +10,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t mostThreads = 64;
-constexpr std::int64_t mostRequestsAllowed = 1'000'000;
+constexpr std::int64_t maxThreads = 64;
+constexpr std::int64_t maxRequestsPerWorker = 1'000'000;
 constexpr milliseconds oneMinute{60'000};
 constexpr milliseconds oneMonth{2'592'000'000};
 
@@ -25,11 +25,11 @@
 
 void readLimits(JsonReader reader, Settings &settings)
 {
-    settings.workers = static_cast<int>(reader.integer("workers", 1, mostThreads, 2));
+    settings.workers = static_cast<int>(reader.integer("workers", 1, maxThreads, 2));
     settings.listenerThreads =
-        static_cast<int>(reader.integer("listenerThreads", 1, mostThreads, 2));
+        static_cast<int>(reader.integer("listenerThreads", 1, maxThreads, 2));
     settings.maxRequests = static_cast<std::size_t>(
-        reader.integer("requestsPerWorker", 1, mostRequestsAllowed, 10'000));
+        reader.integer("requestsPerWorker", 1, maxRequestsPerWorker, 10'000));
     settings.platformTimeout = reader.milliseconds("platformTimeoutMs", milliseconds(10), oneMinute,
                                                    settings.platformTimeout);
     settings.drainLimit =
@@ -42,37 +42,39 @@
         reader.milliseconds("idleLimitMs", milliseconds(100), oneMinute * 60, settings.idleLimit);
     settings.balancerGrace =
         reader.milliseconds("balancerGraceMs", milliseconds(0), oneMinute, settings.balancerGrace);
-    // What is taken in last is cut at the limit: a stream taken in 2.1 s before it was.
+    // Requests admitted at the end of the grace period need time to complete: the drain limit
+    // cuts off what is still running (seen with a stream that was admitted 2.1 s before it).
     if (settings.balancerGrace * 2 > settings.drainLimit) {
         reader.fault("balancerGraceMs", "must leave half of drainLimitMs or more");
     }
     reader.finish();
 }
 
-constexpr double mostRetries = 1e9;
+constexpr double maxRetries = 1e9;
 
 void readRetries(JsonReader reader, Settings &settings)
 {
     settings.retryRatio = reader.number("ratio", 0, 1, settings.retryRatio);
-    settings.retryAllowance = reader.number("allowance", 0, mostRetries, settings.retryAllowance);
+    settings.retryAllowance = reader.number("allowance", 0, maxRetries, settings.retryAllowance);
     settings.retryWindow =
         reader.milliseconds("windowMs", milliseconds(100), oneMinute * 10, settings.retryWindow);
     reader.finish();
 }
 
-constexpr std::int64_t mostWatchers = 1'000;
+constexpr std::int64_t maxWatchers = 1'000;
 
-/// Cores of a processor.
-constexpr double leastCapacity = 0.001;
-constexpr double mostCapacity = 10'000;
+/// Bounds of a host's capacity, in processor cores.
+constexpr double minCapacity = 0.001;
+constexpr double maxCapacity = 10'000;
 
-/// Z85 writes 32 bytes as 40 characters without quotes or backslashes.
+/// Length of a key in characters: Z85 encodes 32 bytes as 40 characters, none of which is a
+/// quote or a backslash.
 constexpr std::size_t keyLength = 40;
 
 void checkKey(const std::string &key, const std::string &path, Faults &faults)
 {
     if (key.size() != keyLength) {
-        // The key itself is never shown.
+        // The message must not contain the key.
         faults.push_back(path + ": must be a key of 40 characters, as harelink keys prints");
     }
 }
@@ -110,8 +112,8 @@
     settings.regions = reader.textsByName("regions");
     readListeners(reader.object("listen"), settings);
     settings.platformAddress = reader.endpointAddress("platform");
-    settings.capacity = reader.number("capacity", leastCapacity, mostCapacity, settings.capacity);
-    // No default: an open door has to be chosen in so many words.
+    settings.capacity = reader.number("capacity", minCapacity, maxCapacity, settings.capacity);
+    // There is no default, so that weak authentication is always an explicit choice.
     const std::string trust = reader.choice("callerTrust", {"bearer-token", "balancer"});
     settings.callerTrust = trust == "balancer" ? CallerTrust::Balancer : CallerTrust::BearerToken;
     const std::string peerTrust = reader.choice("peerTrust", {"curve", "network"});
@@ -123,7 +125,7 @@
     settings.dialect = reader.choice("dialect", dialects, settings.dialect);
     settings.readyPath = reader.text("readyPath", settings.readyPath);
     settings.watchers =
-        static_cast<int>(reader.integer("watchers", 1, mostWatchers, settings.watchers));
+        static_cast<int>(reader.integer("watchers", 1, maxWatchers, settings.watchers));
     if (reader.has("retries")) {
         readRetries(reader.object("retries"), settings);
     }
