--- a/tools/harelink/callcommand.cpp
+++ b/tools/harelink/callcommand.cpp
@@ -54,7 +54,7 @@
     {
         fmt::print("\n");
         if (m_closingEvent.is_null()) {
-            fmt::print(stderr, "harelink: the answer broke off and is not whole\n");
+            fmt::print(stderr, "harelink: the answer broke off and is incomplete\n");
             return ExitFailed;
         }
         fmt::print(stderr, "outcome {}, request {}, {} tokens, stages {}\n",
--- a/tools/harelink/draincommand.cpp
+++ b/tools/harelink/draincommand.cpp
@@ -53,13 +53,13 @@
                      [&words](const ListedDaemon &daemon) { return daemon.host == words[0]; });
     if (found == daemons->end()) {
         return report(makeError(absl::StatusCode::kNotFound, "draining", words[0],
-                                "no daemon of that name is on the host list"));
+                                "the host list contains no daemon of this name"));
     }
     if (!requestDrain(*found)) {
         return report(
             makeError(absl::StatusCode::kUnavailable, "draining", words[0], "it does not answer"));
     }
-    fmt::print("{} finishes what is in progress and stops\n", words[0]);
+    fmt::print("{} stops after its requests in progress\n", words[0]);
     return FLAGS_wait ? waitUntilGone(*found) : ExitDone;
 }
 
--- a/tools/harelink/harelink.cpp
+++ b/tools/harelink/harelink.cpp
@@ -96,7 +96,7 @@
     }
     const Command *command = findCommand(arguments[0]);
     if (command == nullptr) {
-        fmt::print(stderr, "harelink: '{}' is no command; see 'harelink --help'\n", arguments[0]);
+        fmt::print(stderr, "harelink: unknown command '{}'; see 'harelink --help'\n", arguments[0]);
         return ExitUsage;
     }
     if (wantsHelp) {
--- a/tools/harelink/objectcommands.cpp
+++ b/tools/harelink/objectcommands.cpp
@@ -50,9 +50,9 @@
 
 int reportUnknownKind(const std::string &kind)
 {
-    return report(makeError(absl::StatusCode::kInvalidArgument, "reading the command", "",
-                            fmt::format("kind '{}' is unknown; known are: {}", kind,
-                                        fmt::join(resourceKinds(), ", "))));
+    return report(makeError(
+        absl::StatusCode::kInvalidArgument, "reading the command", "",
+        fmt::format("unknown kind '{}'; known kinds: {}", kind, fmt::join(resourceKinds(), ", "))));
 }
 
 PlatformCall objectCall(PlatformOperation operation, const std::string &kind,
@@ -79,12 +79,13 @@
     const std::string objectName = fmt::format("{}/{}", resource.kind, resource.name);
     const int code = report(makeError(
         absl::StatusCode::kAborted, "writing", objectName,
-        fmt::format("somebody changed it: it is at version {} now; nothing was overwritten. "
-                    "look at 'harelink get {} {}' and apply again",
-                    current, resource.kind, resource.name)));
+        fmt::format(
+            "it was changed concurrently: it is at version {} now; nothing was overwritten. "
+            "check 'harelink get {} {}' and apply again",
+            current, resource.kind, resource.name)));
     const nlohmann::json now = nlohmann::json::parse(stored, nullptr, false);
     if (now.is_object()) {
-        fmt::print(stderr, "what applying would change against version {}:\n", current);
+        fmt::print(stderr, "changes that applying the file would make to version {}:\n", current);
         printDifference(now, resource.document);
     }
     return code;
@@ -168,7 +169,7 @@
     const PlatformResult result = callPlatform(objectCall(PlatformOperation::Get, kind, name));
     if (result.outcome == PlatformOutcome::NotFound) {
         return report(makeError(absl::StatusCode::kNotFound, "reading",
-                                fmt::format("{}/{}", kind, name), "there is no such object"));
+                                fmt::format("{}/{}", kind, name), "the object does not exist"));
     }
     if (result.outcome != PlatformOutcome::Ok) {
         return reportUnreachable(result);
@@ -241,7 +242,7 @@
         callPlatform(objectCall(PlatformOperation::Get, words[0], words[1]));
     if (found.outcome == PlatformOutcome::NotFound) {
         return report(makeError(absl::StatusCode::kNotFound, "deleting", objectName,
-                                "there is no such object"));
+                                "the object does not exist"));
     }
     if (found.outcome != PlatformOutcome::Ok) {
         return reportUnreachable(found);
@@ -251,7 +252,7 @@
     const PlatformResult deleted = callPlatform(call);
     if (deleted.outcome == PlatformOutcome::Conflict) {
         return report(makeError(absl::StatusCode::kAborted, "deleting", objectName,
-                                fmt::format("somebody changed it: it is at version {} now; "
+                                fmt::format("it was changed concurrently: it is at version {} now; "
                                             "nothing was deleted",
                                             deleted.version)));
     }
--- a/tools/harelink/platform.cpp
+++ b/tools/harelink/platform.cpp
@@ -44,7 +44,7 @@
 {
     const char *message = result.outcome == PlatformOutcome::Unanswered
                               ? "does not answer; a change may or may not have been made, "
-                                "so look with 'harelink get' before trying again"
+                                "so check with 'harelink get' before retrying"
                               : "cannot be reached; nothing was changed";
     return report(
         makeError(absl::StatusCode::kUnavailable, "calling the platform", FLAGS_platform, message));
