--- a/test/randrun/player.cpp
+++ b/test/randrun/player.cpp
@@ -19,12 +19,12 @@
 #endif
 };
 
-RunResult play(const RunOptions &options)
+RunResult run(const RunOptions &options)
 {
-    return RandomRun<Guards>(options).play(options.steps);
+    return RandomRun<Guards>(options).run(options.steps);
 }
 
-const PlayerRegistration registration(HARELINK_PLAYER, play);
+const PlayerRegistration registration(HARELINK_PLAYER, run);
 
 } // namespace
 } // namespace harelink::sim
--- a/test/randrun/randrun.h
+++ b/test/randrun/randrun.h
@@ -34,7 +34,7 @@
 
     /// Runs until \p steps events were handled or an invariant is violated, then heals all
     /// faults and does the final checks.
-    RunResult play(std::uint64_t steps)
+    RunResult run(std::uint64_t steps)
     {
         m_result.steps += m_world.run(std::chrono::seconds(2));
         m_world.faults() = {0.02, 0.05, 0.05, 0.05, 0.5};
@@ -116,9 +116,9 @@
             return;
         }
         // A new key, or a recent one: a retry by a caller that does not know the outcome.
-        const bool again = m_keys > 0 && random().chance(0.5);
+        const bool isRetry = m_keys > 0 && random().chance(0.5);
         const std::uint64_t key =
-            again ? m_keys - random().below(std::min<std::uint64_t>(m_keys, 10)) : ++m_keys;
+            isRetry ? m_keys - random().below(std::min<std::uint64_t>(m_keys, 10)) : ++m_keys;
         const std::string name = fmt::format("k{}", key);
         const int copies = random().chance(0.2) ? 2 : 1;
         const std::string first = randomHost();
@@ -158,7 +158,7 @@
         ++m_result.faults;
         const std::string host = randomHost();
         m_world.suspend(host);
-        later(milliseconds(500), [=, this] { m_world.thaw(host); });
+        scheduleHeal(milliseconds(500), [=, this] { m_world.thaw(host); });
     }
 
     /// Drains one or all data centres for some seconds. A drain may end at once, and begin
@@ -211,10 +211,10 @@
     void resubmitCrashingRequests()
     {
         constexpr int rounds = 8;
-        const std::uint64_t known =
+        const std::uint64_t sentRequests =
             (m_crashingRequests + sendsPerCrashingRequest - 1) / sendsPerCrashingRequest;
         for (int round = 0; round < rounds; ++round) {
-            for (std::uint64_t number = 0; number < known; ++number) {
+            for (std::uint64_t number = 0; number < sentRequests; ++number) {
                 submitCrashingRequest(number);
                 m_result.steps += m_world.run(std::chrono::milliseconds(300));
             }
@@ -232,9 +232,9 @@
         }
     }
 
-    void later(Duration least, std::function<void()> heal)
+    void scheduleHeal(Duration minDelay, std::function<void()> heal)
     {
-        m_world.queue().after(least + std::chrono::milliseconds(random().below(1500)),
+        m_world.queue().after(minDelay + std::chrono::milliseconds(random().below(1500)),
                               std::move(heal));
     }
 
@@ -246,57 +246,59 @@
         case 0: {
             const std::string host = randomHost();
             m_world.killHost(host);
-            later(milliseconds(200), [=, this] { m_world.startHost(host); });
+            scheduleHeal(milliseconds(200), [=, this] { m_world.startHost(host); });
             return;
         }
         case 1: {
             const std::string host = randomHost();
             m_world.freeze(host);
-            later(milliseconds(100), [=, this] { m_world.thaw(host); });
+            scheduleHeal(milliseconds(100), [=, this] { m_world.thaw(host); });
             return;
         }
         case 2:
             m_world.trace().add("cut dc1 from dc2");
             m_world.cuts().cut("dc1", "dc2");
-            later(milliseconds(100), [this] { m_world.cuts().heal("dc1", "dc2"); });
+            scheduleHeal(milliseconds(100), [this] { m_world.cuts().heal("dc1", "dc2"); });
             return;
         case 3: {
             const std::string dataCentre = random().chance(0.5) ? "dc1" : "dc2";
             m_world.trace().add("cut " + dataCentre + " from platform");
             m_world.cuts().cut(dataCentre, "platform");
-            later(milliseconds(100), [=, this] { m_world.cuts().heal(dataCentre, "platform"); });
+            scheduleHeal(milliseconds(100),
+                         [=, this] { m_world.cuts().heal(dataCentre, "platform"); });
             return;
         }
         case 4:
             m_world.trace().add("platform out");
             m_world.platform().faults().outage = true;
-            later(milliseconds(100), [this] { m_world.platform().faults().outage = false; });
+            scheduleHeal(milliseconds(100), [this] { m_world.platform().faults().outage = false; });
             return;
         case 5:
             m_world.trace().add("platform slow");
             m_world.platform().faults().slow = milliseconds(random().below(300));
-            later(milliseconds(100), [this] { m_world.platform().faults().slow = {}; });
+            scheduleHeal(milliseconds(100), [this] { m_world.platform().faults().slow = {}; });
             return;
         case 6:
             m_world.trace().add("platform loses answers");
             m_world.platform().faults().loseAnswers = 0.3;
-            later(milliseconds(100), [this] { m_world.platform().faults().loseAnswers = 0; });
+            scheduleHeal(milliseconds(100),
+                         [this] { m_world.platform().faults().loseAnswers = 0; });
             return;
         case 7:
             m_world.trace().add("platform applies late");
             m_world.platform().faults().applyLate = 0.3;
-            later(milliseconds(100), [this] { m_world.platform().faults().applyLate = 0; });
+            scheduleHeal(milliseconds(100), [this] { m_world.platform().faults().applyLate = 0; });
             return;
         case 8: {
             const std::string endpoint = randomEndpoint();
             m_world.killEndpoint(endpoint);
-            later(milliseconds(100), [=, this] { m_world.startEndpoint(endpoint); });
+            scheduleHeal(milliseconds(100), [=, this] { m_world.startEndpoint(endpoint); });
             return;
         }
         default: {
             const std::string host = randomHost();
             m_world.drainHost(host);
-            later(milliseconds(3000), [=, this] { m_world.startHost(host); });
+            scheduleHeal(milliseconds(3000), [=, this] { m_world.startHost(host); });
             return;
         }
         }
--- a/test/scenarios/runner.cpp
+++ b/test/scenarios/runner.cpp
@@ -75,7 +75,7 @@
 {
 public:
     /// Runs the scenario in \p path; returns false if it is invalid or an expectation fails.
-    bool play(const std::string &path)
+    bool run(const std::string &path)
     {
         std::ifstream file(path);
         std::string line;
@@ -285,7 +285,7 @@
     int failed = argc < 2 ? 1 : 0;
     for (int i = 1; i < argc; ++i) {
         Scenario scenario;
-        failed += scenario.play(argv[i]) ? 0 : 1;
+        failed += scenario.run(argv[i]) ? 0 : 1;
     }
     fmt::print("{} passed, {} failed\n", argc - 1 - failed, failed);
     return failed == 0 ? 0 : 1;
