--- a/lib/Adapters/httpserver.cpp
+++ b/lib/Adapters/httpserver.cpp
@@ -34,7 +34,7 @@
         : m_onClosed(std::move(onClosed))
     {
     }
-    // RESTinio looks for this very name.
+    // RESTinio requires this name.
     // NOLINTNEXTLINE(readability-identifier-naming)
     void state_changed(const restinio::connection_state::notice_t &notice) noexcept
     {
@@ -52,7 +52,7 @@
 struct Traits : public restinio::traits_t<restinio::asio_timer_manager_t, restinio::null_logger_t,
                                           restinio::default_request_handler_t>
 {
-    // RESTinio looks for this very name.
+    // RESTinio requires this name.
     // NOLINTNEXTLINE(readability-identifier-naming)
     using connection_state_listener_t = ConnectionListener;
 };
--- a/unittests/Adapters/httpcaller.h
+++ b/unittests/Adapters/httpcaller.h
@@ -1,8 +1,8 @@
-//===- httpcaller.h - A caller with a bare socket ---------------*- C++ -*-===//
+//===- httpcaller.h - Raw socket HTTP client ---------------------*- C++ -*-===//
 ///
 /// \file
-/// A caller of an HTTP server that says and hears bytes, so that a mistake of a shared
-/// codec would show.
+/// An HTTP client that sends and receives raw bytes, so that a fault shared by the
+/// production code for both sides would be detected.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -32,20 +32,20 @@
         address.sin_port = htons(port);
         (void)connect(m_socket, reinterpret_cast<sockaddr *>(&address), sizeof address);
     }
-    ~HttpCaller() { leave(); }
+    ~HttpCaller() { disconnect(); }
     HttpCaller(const HttpCaller &) = delete;
     HttpCaller &operator=(const HttpCaller &) = delete;
 
-    void say(const std::string &bytes) const
+    void write(const std::string &bytes) const
     {
         (void)send(m_socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
-    /// All bytes until the connection ends, or nothing comes for two seconds.
-    [[nodiscard]] std::string hearAll() const { return hearUntil({}); }
-    /// The same, but no more once \p text was heard, where it is not empty.
-    [[nodiscard]] std::string hearUntil(const std::string &text) const
+    /// Returns all bytes until the connection is closed or idle for two seconds.
+    [[nodiscard]] std::string readAll() const { return readUntil({}); }
+    /// Like readAll(), but stops when \p text was received, unless it is empty.
+    [[nodiscard]] std::string readUntil(const std::string &text) const
     {
-        std::string heard;
+        std::string received;
         char buffer[4096];
         pollfd ready{m_socket, POLLIN, 0};
         while (poll(&ready, 1, 2000) > 0) {
@@ -53,14 +53,14 @@
             if (count <= 0) {
                 break;
             }
-            heard.append(buffer, static_cast<std::size_t>(count));
-            if (!text.empty() && heard.find(text) != std::string::npos) {
+            received.append(buffer, static_cast<std::size_t>(count));
+            if (!text.empty() && received.find(text) != std::string::npos) {
                 break;
             }
         }
-        return heard;
+        return received;
     }
-    void leave()
+    void disconnect()
     {
         if (m_socket >= 0) {
             close(m_socket);
--- a/unittests/Adapters/httpclienttest.cpp
+++ b/unittests/Adapters/httpclienttest.cpp
@@ -1,4 +1,4 @@
-//===- httpclienttest.cpp - Tests of outgoing HTTP ------------------------===//
+//===- httpclienttest.cpp - Tests of the HTTP client ----------------------===//
 
 #include "harelink/Adapters/httpclient.h"
 #include "harelink/Adapters/httpserver.h"
@@ -19,12 +19,12 @@
 
 namespace {
 
-/// Answers the first request on each connection, or none, and then, when the next one
-/// is in, closes the connection without a word, as a dying endpoint does.
-class DyingServer
+/// Answers the first request on each connection, or none, and closes the connection without
+/// an answer when it receives the next one, like a crashing endpoint.
+class CrashingServer
 {
 public:
-    explicit DyingServer(bool answersFirst = true)
+    explicit CrashingServer(bool answersFirst = true)
         : m_listener(socket(AF_INET, SOCK_STREAM, 0))
         , m_answersFirst(answersFirst)
     {
@@ -38,18 +38,18 @@
         m_port = ntohs(address.sin_port);
         m_thread = std::thread([this] { serve(); });
     }
-    ~DyingServer()
+    ~CrashingServer()
     {
         shutdown(m_listener, SHUT_RDWR);
         m_thread.join();
-        // Each ends when its client closes, which the tests do first.
+        // Each thread ends when its client closes the connection, which happened before.
         for (std::thread &connection : m_connections) {
             connection.join();
         }
         close(m_listener);
     }
     [[nodiscard]] std::string url() const { return fmt::format("http://127.0.0.1:{}/", m_port); }
-    [[nodiscard]] int seen() const { return m_seen; }
+    [[nodiscard]] int requestCount() const { return m_requestCount; }
 
 private:
     bool readRequest(int connection)
@@ -58,7 +58,7 @@
         if (recv(connection, buffer, sizeof buffer, 0) <= 0) {
             return false;
         }
-        ++m_seen;
+        ++m_requestCount;
         return true;
     }
 
@@ -69,7 +69,7 @@
             if (connection < 0) {
                 return;
             }
-            // A kept connection waits for its second request beside the others.
+            // A reused connection waits for its second request concurrently with the others.
             m_connections.emplace_back([this, connection] { serveConnection(connection); });
         }
     }
@@ -87,12 +87,12 @@
     int m_listener;
     bool m_answersFirst;
     int m_port = 0;
-    std::atomic<int> m_seen{0};
+    std::atomic<int> m_requestCount{0};
     std::thread m_thread;
-    std::vector<std::thread> m_connections; ///< Of m_thread alone until it ended.
+    std::vector<std::thread> m_connections; ///< Used only by m_thread until it ends.
 };
 
-HttpResult callOn(HttpClient &client, const HttpCall &call)
+HttpResult callWith(HttpClient &client, const HttpCall &call)
 {
     HttpResult result;
     bool done = false;
@@ -121,7 +121,7 @@
 
 TEST_GROUP(HttpClient){};
 
-TEST(HttpClient, ReadsAnAnswer)
+TEST(HttpClient, DecodesAnAnswer)
 {
     HttpServerOptions options;
     options.address = "127.0.0.1:0";
@@ -136,63 +136,63 @@
     HttpClient client;
     HttpCall call = post(fmt::format("http://127.0.0.1:{}/a?list=x,y", (*server)->port()), true);
     call.headers.emplace_back("X-Question: why");
-    const HttpResult result = callOn(client, call);
+    const HttpResult result = callWith(client, call);
     CHECK_EQUAL(418, result.status);
     STRCMP_EQUAL("why", result.header("x-echo").c_str());
     STRCMP_EQUAL("x,y{}", result.body.c_str());
 }
 
-TEST(HttpClient, SaysThatNothingWasSentWhenNobodyListens)
+TEST(HttpClient, ReportsThatNothingWasSentIfConnectionIsRefused)
 {
     HttpClient client;
-    const HttpResult result = callOn(client, post("http://127.0.0.1:1/", true));
+    const HttpResult result = callWith(client, post("http://127.0.0.1:1/", true));
     CHECK_EQUAL(0, result.status);
     CHECK_FALSE(result.sent);
     CHECK_FALSE(result.isBroken);
     CHECK(result.connection == HttpConnection::Refused);
 }
 
-TEST(HttpClient, ACallThatOnlyConnectsSendsNothing)
+TEST(HttpClient, ConnectOnlyCallSendsNothing)
 {
-    DyingServer server;
+    CrashingServer server;
     HttpClient client;
     HttpCall call;
     call.url = server.url();
     call.timeout = std::chrono::seconds(5);
     call.connectOnly = true;
-    const HttpResult result = callOn(client, call);
+    const HttpResult result = callWith(client, call);
     CHECK(result.connection == HttpConnection::Established);
     CHECK_FALSE(result.sent);
-    CHECK_EQUAL(0, server.seen());
+    CHECK_EQUAL(0, server.requestCount());
 }
 
-TEST(HttpClient, TellsAConnectionThatTheOtherSideEnded)
+TEST(HttpClient, ReportsConnectionClosedByPeer)
 {
-    DyingServer server(false);
+    CrashingServer server(false);
     HttpClient client;
-    const HttpResult result = callOn(client, post(server.url(), false));
+    const HttpResult result = callWith(client, post(server.url(), false));
     CHECK_EQUAL(0, result.status);
     CHECK_TRUE(result.sent);
     CHECK_TRUE(result.isBroken);
 }
 
-// The library sends a POST again when a kept connection breaks. A call that may
-// not be repeated must therefore never use a kept connection.
-TEST(HttpClient, ACallThatMayNotBeRepeatedIsSentOnce)
+// libcurl resends a POST when a reused connection breaks. A call that must not be repeated
+// must therefore never reuse a connection.
+TEST(HttpClient, NonResendableCallIsSentOnce)
 {
-    DyingServer server;
+    CrashingServer server;
     HttpClient client;
-    CHECK_EQUAL(200, callOn(client, post(server.url(), true)).status);
-    CHECK_EQUAL(200, callOn(client, post(server.url(), false)).status);
-    CHECK_EQUAL(2, server.seen());
+    CHECK_EQUAL(200, callWith(client, post(server.url(), true)).status);
+    CHECK_EQUAL(200, callWith(client, post(server.url(), false)).status);
+    CHECK_EQUAL(2, server.requestCount());
 }
 
-TEST(HttpClient, ControlAResendableCallIsSentTwiceOverABrokenConnection)
+TEST(HttpClient, ControlResendableCallIsSentTwiceOnBrokenConnection)
 {
-    DyingServer server;
+    CrashingServer server;
     HttpClient client;
-    CHECK_EQUAL(200, callOn(client, post(server.url(), true)).status);
-    // Seen once on the kept connection, which breaks, and once more on a new one.
-    CHECK_EQUAL(200, callOn(client, post(server.url(), true)).status);
-    CHECK_EQUAL(3, server.seen());
+    CHECK_EQUAL(200, callWith(client, post(server.url(), true)).status);
+    // Received once on the reused connection, which breaks, and again on a new one.
+    CHECK_EQUAL(200, callWith(client, post(server.url(), true)).status);
+    CHECK_EQUAL(3, server.requestCount());
 }
--- a/unittests/Adapters/httpservercuttest.cpp
+++ b/unittests/Adapters/httpservercuttest.cpp
@@ -1,4 +1,4 @@
-//===- httpservercuttest.cpp - Tests of replies that are cut --------------===//
+//===- httpservercuttest.cpp - Tests of aborted replies -------------------===//
 
 #include "harelink/Adapters/httpserver.h"
 
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr int leaverThreads = 4;
-constexpr int bystanderThreads = 2;
-constexpr int callsEach = 60;
+constexpr int disconnectingThreads = 4;
+constexpr int otherThreads = 2;
+constexpr int callsPerThread = 60;
 
-HttpReply part(const std::string &body, bool more)
+HttpReply makePart(const std::string &body, bool more)
 {
     HttpReply reply;
     reply.body = body;
@@ -34,12 +34,12 @@
     return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n";
 }
 
-/// A server whose replies come in parts from a thread of their own: those to "/whole" end
-/// as they should, all others are cut after their first part.
-class CuttingServer
+/// A server that sends chunked replies from a separate thread: those to "/whole" are completed,
+/// all others are aborted after their first part.
+class AbortingServer
 {
 public:
-    CuttingServer()
+    AbortingServer()
         : m_replier([this] { reply(); })
     {
         HttpServerOptions options;
@@ -51,19 +51,19 @@
             m_changed.notify_one();
         });
     }
-    ~CuttingServer()
+    ~AbortingServer()
     {
         {
             const std::lock_guard<std::mutex> guard(m_mutex);
-            m_ends = true;
+            m_isStopping = true;
             m_changed.notify_one();
         }
         m_replier.join();
         m_pending.clear();
         m_server.reset();
     }
-    CuttingServer(const CuttingServer &) = delete;
-    CuttingServer &operator=(const CuttingServer &) = delete;
+    AbortingServer(const AbortingServer &) = delete;
+    AbortingServer &operator=(const AbortingServer &) = delete;
 
     [[nodiscard]] std::uint16_t port() const { return m_server->port(); }
 
@@ -71,14 +71,14 @@
     void reply()
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        while (!m_ends) {
-            m_changed.wait(lock, [this] { return m_ends || !m_pending.empty(); });
+        while (!m_isStopping) {
+            m_changed.wait(lock, [this] { return m_isStopping || !m_pending.empty(); });
             auto pending = std::exchange(m_pending, {});
             lock.unlock();
-            for (const auto &[isWhole, respond] : pending) {
-                respond(part("first", true));
-                HttpReply last = part("last", false);
-                last.abort = !isWhole;
+            for (const auto &[isComplete, respond] : pending) {
+                respond(makePart("first", true));
+                HttpReply last = makePart("last", false);
+                last.abort = !isComplete;
                 respond(last);
             }
             lock.lock();
@@ -88,7 +88,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::vector<std::pair<bool, Responder>> m_pending;
-    bool m_ends = false;
+    bool m_isStopping = false;
     std::unique_ptr<HttpServer> m_server;
     std::thread m_replier;
 };
@@ -107,57 +107,58 @@
 
 } // namespace
 
-TEST_GROUP(HttpServerCut){};
+TEST_GROUP(HttpServerAbort){};
 
-/// The connection ends from both sides at once, many times; nobody else's may end by it.
-TEST(HttpServerCut, CutsThatMeetLeavingCallersEndNoOtherConnection)
+/// Closes connections from both sides at the same time, many times; no other connection may be
+/// closed by it.
+TEST(HttpServerAbort, AbortsDuringDisconnectsCloseNoOtherConnection)
 {
-    const CuttingServer server;
-    std::atomic<int> whole{0};
-    std::atomic<int> lookedWhole{0};
-    std::thread bystanders([&] {
-        runThreads(bystanderThreads, [&] {
-            for (int i = 0; i < callsEach; ++i) {
+    const AbortingServer server;
+    std::atomic<int> completeReplies{0};
+    std::atomic<int> abortedButComplete{0};
+    std::thread otherCallers([&] {
+        runThreads(otherThreads, [&] {
+            for (int i = 0; i < callsPerThread; ++i) {
                 const HttpCaller caller(server.port());
-                caller.say(get("/whole"));
-                const std::string heard = caller.hearUntil("\r\n0\r\n\r\n");
-                whole += heard.find("last\r\n0\r\n\r\n") != std::string::npos ? 1 : 0;
+                caller.write(get("/whole"));
+                const std::string received = caller.readUntil("\r\n0\r\n\r\n");
+                completeReplies += received.find("last\r\n0\r\n\r\n") != std::string::npos ? 1 : 0;
             }
         });
     });
-    runThreads(leaverThreads, [&] {
-        for (int i = 0; i < callsEach; ++i) {
+    runThreads(disconnectingThreads, [&] {
+        for (int i = 0; i < callsPerThread; ++i) {
             HttpCaller caller(server.port());
-            caller.say(get("/cut"));
-            const std::string heard = caller.hearUntil("first");
-            lookedWhole += heard.find("\r\n0\r\n") != std::string::npos ? 1 : 0;
-            caller.leave();
+            caller.write(get("/cut"));
+            const std::string received = caller.readUntil("first");
+            abortedButComplete += received.find("\r\n0\r\n") != std::string::npos ? 1 : 0;
+            caller.disconnect();
         }
     });
-    bystanders.join();
-    LONGS_EQUAL(bystanderThreads * callsEach, whole.load());
-    LONGS_EQUAL(0, lookedWhole.load());
+    otherCallers.join();
+    LONGS_EQUAL(otherThreads * callsPerThread, completeReplies.load());
+    LONGS_EQUAL(0, abortedButComplete.load());
 }
 
-/// What was handed over before the cut belongs to its caller.
-TEST(HttpServerCut, WhatWasSentBeforeTheCutArrives)
+/// Parts queued before the abort must reach the caller.
+TEST(HttpServerAbort, BytesSentBeforeTheAbortArrive)
 {
-    const CuttingServer server;
+    const AbortingServer server;
     const HttpCaller caller(server.port());
-    caller.say(get("/cut"));
-    const std::string heard = caller.hearAll();
-    CHECK(heard.find("first") != std::string::npos);
-    CHECK(heard.find("last") == std::string::npos);
-    CHECK(heard.find("\r\n0\r\n") == std::string::npos);
+    caller.write(get("/cut"));
+    const std::string received = caller.readAll();
+    CHECK(received.find("first") != std::string::npos);
+    CHECK(received.find("last") == std::string::npos);
+    CHECK(received.find("\r\n0\r\n") == std::string::npos);
 }
 
-/// A second request on the connection is not the one that is cut: its reply is owed whole.
-TEST(HttpServerCut, AReplyBeforeItOnTheSameConnectionStaysWhole)
+/// Aborting the second reply on a connection must not truncate the first one.
+TEST(HttpServerAbort, PreviousReplyOnTheSameConnectionIsComplete)
 {
-    const CuttingServer server;
+    const AbortingServer server;
     const HttpCaller caller(server.port());
-    caller.say(get("/whole") + get("/cut"));
-    const std::string heard = caller.hearAll();
-    CHECK(heard.find("last\r\n0\r\n\r\n") != std::string::npos);
-    CHECK(heard.find("\r\n0\r\n") == heard.rfind("\r\n0\r\n"));
+    caller.write(get("/whole") + get("/cut"));
+    const std::string received = caller.readAll();
+    CHECK(received.find("last\r\n0\r\n\r\n") != std::string::npos);
+    CHECK(received.find("\r\n0\r\n") == received.rfind("\r\n0\r\n"));
 }
--- a/unittests/Adapters/httpservertest.cpp
+++ b/unittests/Adapters/httpservertest.cpp
@@ -1,4 +1,4 @@
-//===- httpservertest.cpp - Tests of incoming HTTP ------------------------===//
+//===- httpservertest.cpp - Tests of the HTTP server ----------------------===//
 
 #include "harelink/Adapters/httpserver.h"
 
@@ -19,7 +19,7 @@
 namespace {
 
 template <typename Condition>
-bool comesTrue(const Condition &condition)
+bool waitUntil(const Condition &condition)
 {
     for (int i = 0; i < 400 && !condition(); ++i) {
         std::this_thread::sleep_for(5ms);
@@ -29,7 +29,7 @@
 
 constexpr const char *get = "GET /a?b=c HTTP/1.1\r\nHost: x\r\nX-One: 1\r\nX-One: 2\r\n\r\n";
 
-/// A server that keeps what came and answers when it is told to.
+/// A server that stores requests and lets the test send the replies.
 struct Server
 {
     Server()
@@ -45,7 +45,7 @@
     }
     ~Server()
     {
-        // It refers to a connection, which ends with the server.
+        // Releases its connection, which must not outlive the server.
         responder = {};
     }
     Server(const Server &) = delete;
@@ -53,7 +53,7 @@
 
     bool waitForRequest()
     {
-        return comesTrue([this] {
+        return waitUntil([this] {
             const std::lock_guard<std::mutex> guard(mutex);
             return !requests.empty();
         });
@@ -66,7 +66,7 @@
     std::unique_ptr<HttpServer> server;
 };
 
-HttpReply part(const std::string &body, bool more)
+HttpReply makePart(const std::string &body, bool more)
 {
     HttpReply reply;
     reply.body = body;
@@ -78,57 +78,57 @@
 
 TEST_GROUP(HttpServer){};
 
-TEST(HttpServer, AllFieldsAndTheTargetAreKeptAsSent)
+TEST(HttpServer, PreservesFieldsAndTarget)
 {
     Server server;
     const HttpCaller caller(server.server->port());
-    caller.say(get);
+    caller.write(get);
     CHECK(server.waitForRequest());
     STRCMP_EQUAL("/a?b=c", server.requests[0].target.c_str());
     LONGS_EQUAL(3, server.requests[0].fields.size());
     STRCMP_EQUAL("X-One", server.requests[0].fields[1].first.c_str());
     STRCMP_EQUAL("1", server.requests[0].fields[1].second.c_str());
     STRCMP_EQUAL("2", server.requests[0].fields[2].second.c_str());
-    server.responder(part("done", false));
+    server.responder(makePart("done", false));
 }
 
-TEST(HttpServer, ACallerThatLeavesIsNoticedWhileItsRequestIsHandled)
+TEST(HttpServer, DetectsDisconnectDuringHandling)
 {
     Server server;
     HttpCaller caller(server.server->port());
-    caller.say(get);
+    caller.write(get);
     CHECK(server.waitForRequest());
-    caller.leave();
-    CHECK(comesTrue([&] { return server.closed != 0; }));
+    caller.disconnect();
+    CHECK(waitUntil([&] { return server.closed != 0; }));
     LONGS_EQUAL(server.requests[0].connection, server.closed.load());
 }
 
-TEST(HttpServer, AReplyThatIsCutDoesNotLookWhole)
+TEST(HttpServer, AbortedReplyIsIncomplete)
 {
     Server server;
     const HttpCaller caller(server.server->port());
-    caller.say(get);
+    caller.write(get);
     CHECK(server.waitForRequest());
-    server.responder(part("first", true));
+    server.responder(makePart("first", true));
     std::this_thread::sleep_for(50ms);
-    HttpReply cut;
-    cut.abort = true;
-    server.responder(cut);
-    const std::string heard = caller.hearAll();
-    CHECK(heard.find("first") != std::string::npos);
-    // The last chunk is what would make it whole.
-    CHECK(heard.find("\r\n0\r\n") == std::string::npos);
+    HttpReply aborted;
+    aborted.abort = true;
+    server.responder(aborted);
+    const std::string received = caller.readAll();
+    CHECK(received.find("first") != std::string::npos);
+    // The final chunk would make the reply complete.
+    CHECK(received.find("\r\n0\r\n") == std::string::npos);
 }
 
-TEST(HttpServer, AReplyInPartsThatEndsLooksWhole)
+TEST(HttpServer, ChunkedReplyIsComplete)
 {
     Server server;
     const HttpCaller caller(server.server->port());
-    caller.say(get);
+    caller.write(get);
     CHECK(server.waitForRequest());
-    server.responder(part("first", true));
-    HttpReply last = part("", false);
+    server.responder(makePart("first", true));
+    HttpReply last = makePart("", false);
     last.close = true;
     server.responder(last);
-    CHECK(caller.hearAll().find("\r\n0\r\n") != std::string::npos);
+    CHECK(caller.readAll().find("\r\n0\r\n") != std::string::npos);
 }
--- a/unittests/Adapters/noticereadertest.cpp
+++ b/unittests/Adapters/noticereadertest.cpp
@@ -1,4 +1,4 @@
-//===- noticereadertest.cpp - Tests of what endpoints say of themselves ---===//
+//===- noticereadertest.cpp - Tests of endpoint notices -------------------===//
 
 #include "harelink/Adapters/noticereader.h"
 #include "harelink/Adapters/stageprotocol.h"
@@ -13,7 +13,7 @@
 
 const NoticeFields names = {"rate", "leaving", "cold"};
 
-EndpointNotice read(int status, std::map<std::string, std::string> headers)
+EndpointNotice readFields(int status, std::map<std::string, std::string> headers)
 {
     HttpResult result;
     result.status = status;
@@ -26,9 +26,9 @@
 
 TEST_GROUP(NoticeReader){};
 
-TEST(NoticeReader, AnAnswerWithoutFieldsStatesNothing)
+TEST(NoticeReader, AnswerWithoutFieldsReportsNothing)
 {
-    const EndpointNotice notice = read(200, {});
+    const EndpointNotice notice = readFields(200, {});
     CHECK(!notice.requestsPerSecond);
     CHECK(!notice.isLimitUnreadable);
     CHECK(!notice.isLeaving);
@@ -36,22 +36,22 @@
     CHECK(notice.unreadable.empty());
 }
 
-TEST(NoticeReader, DecimalNumbersAreRead)
+TEST(NoticeReader, ParsesDecimalNumbers)
 {
-    DOUBLES_EQUAL(1.5, *read(200, {{"rate", "1.5"}}).requestsPerSecond, 1e-9);
-    DOUBLES_EQUAL(0, *read(200, {{"rate", "0"}}).requestsPerSecond, 1e-9);
-    CHECK(read(503, {{"retry-after", "2.5"}}).pause == milliseconds(2500));
-    CHECK(read(429, {{"retry-after", "3"}}).pause == milliseconds(3000));
-    CHECK(read(503, {{"leaving", "1"}}).isLeaving);
-    CHECK(!read(503, {{"leaving", "0"}}).isLeaving);
+    DOUBLES_EQUAL(1.5, *readFields(200, {{"rate", "1.5"}}).requestsPerSecond, 1e-9);
+    DOUBLES_EQUAL(0, *readFields(200, {{"rate", "0"}}).requestsPerSecond, 1e-9);
+    CHECK(readFields(503, {{"retry-after", "2.5"}}).pause == milliseconds(2500));
+    CHECK(readFields(429, {{"retry-after", "3"}}).pause == milliseconds(3000));
+    CHECK(readFields(503, {{"leaving", "1"}}).isLeaving);
+    CHECK(!readFields(503, {{"leaving", "0"}}).isLeaving);
 }
 
-TEST(NoticeReader, AStatusCheckTellsForHowLongTheEndpointIsCold)
+TEST(NoticeReader, StatusCheckReportsRemainingColdTime)
 {
-    CHECK(read(200, {{"cold", "2500"}}).coldFor == milliseconds(2500));
-    CHECK(read(503, {{"cold", "0"}}).coldFor == Duration::zero());
-    CHECK(read(200, {}).coldFor == Duration::zero());
-    const EndpointNotice notice = read(200, {{"cold", "soon"}});
+    CHECK(readFields(200, {{"cold", "2500"}}).coldFor == milliseconds(2500));
+    CHECK(readFields(503, {{"cold", "0"}}).coldFor == Duration::zero());
+    CHECK(readFields(200, {}).coldFor == Duration::zero());
+    const EndpointNotice notice = readFields(200, {{"cold", "soon"}});
     CHECK(notice.coldFor == Duration::zero());
     STRCMP_EQUAL("cold: soon", notice.unreadable.c_str());
     HttpResult result;
@@ -60,18 +60,18 @@
     CHECK(readNotice(result, ownNoticeFields()).coldFor == milliseconds(700));
 }
 
-TEST(NoticeReader, APauseIsOnlyReadFromARefusal)
+TEST(NoticeReader, PauseIsAcceptedOnlyFromARefusal)
 {
-    CHECK(read(200, {{"retry-after", "3"}}).pause == Duration::zero());
-    CHECK(read(500, {{"retry-after", "3"}}).pause == Duration::zero());
+    CHECK(readFields(200, {{"retry-after", "3"}}).pause == Duration::zero());
+    CHECK(readFields(500, {{"retry-after", "3"}}).pause == Duration::zero());
 }
 
-TEST(NoticeReader, NonsenseIsNamedAndTheOtherFieldsHold)
+TEST(NoticeReader, InvalidFieldIsReportedAndOthersApply)
 {
     for (const char *value :
          {"", " ", "x", "-1", "nan", "inf", "1e400", "99999999999", "1,2", "0x10", "1 "}) {
         const EndpointNotice notice =
-            read(503, {{"rate", value}, {"retry-after", "2"}, {"leaving", "1"}});
+            readFields(503, {{"rate", value}, {"retry-after", "2"}, {"leaving", "1"}});
         const bool isEmpty = std::string(value).empty();
         CHECK(!notice.requestsPerSecond);
         CHECK(notice.isLimitUnreadable == !isEmpty);
@@ -80,14 +80,14 @@
         CHECK(notice.isLeaving);
     }
     const EndpointNotice notice =
-        read(503, {{"rate", "2"}, {"retry-after", "Wed, 21 Oct"}, {"leaving", "soon"}});
+        readFields(503, {{"rate", "2"}, {"retry-after", "Wed, 21 Oct"}, {"leaving", "soon"}});
     DOUBLES_EQUAL(2, *notice.requestsPerSecond, 1e-9);
     CHECK(notice.pause == Duration::zero());
     CHECK(!notice.isLeaving);
     CHECK(!notice.unreadable.empty());
 }
 
-TEST(NoticeReader, EndpointsOfTheProductsOwnProtocolsAreHeardToo)
+TEST(NoticeReader, StageProtocolsReadNotices)
 {
     const std::unique_ptr<StageProtocol> protocol =
         Registry<StageProtocol>::instance().make("plain-service");
--- a/unittests/Adapters/peerlinktest.cpp
+++ b/unittests/Adapters/peerlinktest.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// Turns of 10 ms until something that must happen has happened; the verdict does
-/// not hang on how many it takes.
-constexpr int mostTurns = 2000;
+/// Maximum number of attempts, mostly 10 ms apart, for an expected event. The result doesn't
+/// depend on how many are needed.
+constexpr int maxAttempts = 2000;
 
-/// A receiver under \p own keys, or none, and what reaches it of a sender's.
-struct Pair
+/// A receiver and a sender, each with CURVE keys or without.
+struct LinkPair
 {
-    Pair(const std::optional<PeerKeys> &receiverKeys, const std::optional<PeerKeys> &senderKeys)
+    LinkPair(const std::optional<PeerKeys> &receiverKeys, const std::optional<PeerKeys> &senderKeys)
     {
         if (receiverKeys) {
             receiver.enableCurve(*receiverKeys);
@@ -40,7 +40,7 @@
     /// Sends until something arrives.
     std::optional<PeerMessage> sendUntilReceived()
     {
-        for (int turn = 0; turn < mostTurns; ++turn) {
+        for (int attempt = 0; attempt < maxAttempts; ++attempt) {
             send();
             if (std::optional<PeerMessage> message = receiver.receive()) {
                 return message;
@@ -59,10 +59,10 @@
 
 TEST_GROUP(PeerLink){};
 
-TEST(PeerLink, MessagesPassUnderTheSameKeys)
+TEST(PeerLink, DeliversMessagesWithTheSameKeys)
 {
     const PeerKeys keys = makePeerKeys();
-    Pair pair(keys, keys);
+    LinkPair pair(keys, keys);
     const std::optional<PeerMessage> message = pair.sendUntilReceived();
     CHECK(message.has_value());
     const auto &heartbeat = std::get<Heartbeat>(message->content);
@@ -71,49 +71,50 @@
     CHECK_EQUAL(0u, pair.receiver.refusedConnections());
 }
 
-TEST(PeerLink, APeerWithoutAKnownKeyIsRefusedAndCounted)
+TEST(PeerLink, RefusesAndCountsPeersWithUnknownKeys)
 {
     const PeerKeys keys = makePeerKeys();
-    PeerKeys stranger = makePeerKeys();
-    // It knows the fleet's public key, which is no secret, but has another pair.
-    Pair pair(keys, keys);
+    PeerKeys unknownKeys = makePeerKeys();
+    // The intruder has the fleet's public key, which is not secret, but uses another key pair.
+    LinkPair pair(keys, keys);
     PeerLink intruder;
     const std::string address = fmt::format("127.0.0.1:{}", pair.receiver.port());
-    intruder.enableCurve(stranger);
+    intruder.enableCurve(unknownKeys);
     intruder.trustServer(keys.publicKey);
-    for (int turn = 0; turn < mostTurns && pair.receiver.refusedConnections() == 0; ++turn) {
+    for (int attempt = 0; attempt < maxAttempts && pair.receiver.refusedConnections() == 0;
+         ++attempt) {
         intruder.send({"h2", address, {"intruder", 8, Heartbeat{}}}, {});
         std::this_thread::sleep_for(milliseconds(10));
     }
     CHECK(pair.receiver.refusedConnections() > 0);
     CHECK(!pair.receiver.receive().has_value());
-    // The control: the fleet's own still get through.
+    // Control: messages with the fleet's keys still arrive.
     CHECK(pair.sendUntilReceived()->host == "h1");
 }
 
-TEST(PeerLink, AKeyThatTheSettingsAcceptGetsIn)
+TEST(PeerLink, AcceptsKeysFromTheSettings)
 {
     PeerKeys keys = makePeerKeys();
     const PeerKeys other = makePeerKeys();
     keys.accepted = {other.publicKey};
-    Pair pair(keys, other);
+    LinkPair pair(keys, other);
     pair.sender.trustServer(keys.publicKey);
     CHECK(pair.sendUntilReceived().has_value());
 }
 
-TEST(PeerLink, WithoutKeysNothingIsSecured)
+TEST(PeerLink, DeliversMessagesWithoutKeys)
 {
-    Pair pair(std::nullopt, std::nullopt);
+    LinkPair pair(std::nullopt, std::nullopt);
     CHECK(pair.sendUntilReceived().has_value());
 }
 
-TEST(PeerLink, TheFirstMessageWaitsForItsConnection)
+TEST(PeerLink, FirstMessageIsQueuedUntilConnected)
 {
-    Pair pair({}, {});
+    LinkPair pair({}, {});
     pair.send();
     std::optional<PeerMessage> message;
-    for (int turn = 0; turn < mostTurns && !message; ++turn) {
-        // Only the flush may bring it: nothing is sent again.
+    for (int attempt = 0; attempt < maxAttempts && !message; ++attempt) {
+        // Only flush() can deliver the message: it is not sent again.
         pair.sender.flush(pair.sender.nextFlush());
         message = pair.receiver.receive();
         std::this_thread::sleep_for(milliseconds(message ? 0 : 1));
@@ -123,7 +124,7 @@
     LONGS_EQUAL(1, pair.sender.counters().sent);
 }
 
-TEST(PeerLink, NothingIsKeptForLongForAPeerThatIsNotThere)
+TEST(PeerLink, DropsMessagesToUnreachablePeers)
 {
     PeerLink sender;
     const TimePoint start;
@@ -133,13 +134,14 @@
     sender.flush(start + milliseconds(1000));
     LONGS_EQUAL(1, sender.counters().dropped);
     CHECK(sender.nextFlush() == TimePoint::max());
-    // It has had its time: what comes later is dropped at once.
+    // The time for connecting is over: later messages are dropped at once.
     sender.send(send, start + milliseconds(1000));
     LONGS_EQUAL(2, sender.counters().dropped);
 }
 
-/// Addresses come from a list that others write to.
-TEST(PeerLink, WhatIsNoAddressIsLeftAloneAndOthersHear)
+/// Addresses come from a list with entries of other writers. Invalid ones must not prevent
+/// messages to valid ones.
+TEST(PeerLink, IgnoresInvalidAddresses)
 {
     PeerLink receiver;
     CHECK(receiver.listen("127.0.0.1:0").ok());
@@ -156,18 +158,18 @@
     send.address = fmt::format("127.0.0.1:{}", receiver.port());
     send.message = {"h1", 1, Heartbeat{}};
     sender.send(send, now);
-    std::optional<PeerMessage> heard;
-    for (int turn = 0; turn < mostTurns && !heard; ++turn) {
+    std::optional<PeerMessage> message;
+    for (int attempt = 0; attempt < maxAttempts && !message; ++attempt) {
         std::this_thread::sleep_for(milliseconds(10));
-        // What waits for its connection is dropped later than this.
-        now += turn < 9 ? milliseconds(3) : milliseconds(0);
+        // Stays below the time after which queued messages are dropped.
+        now += attempt < 9 ? milliseconds(3) : milliseconds(0);
         sender.flush(now);
-        heard = receiver.receive();
+        message = receiver.receive();
     }
-    CHECK(heard.has_value());
+    CHECK(message.has_value());
 }
 
-TEST(PeerLink, WhatIsToldOfEndsIsReadAsItWasWritten)
+TEST(PeerLink, CrashReportsSurviveEncoding)
 {
     CrashReports reports;
     reports.reports.push_back({hash128("a"), "engines", "e1", std::chrono::milliseconds(120),
--- a/unittests/Adapters/stagestreamtest.cpp
+++ b/unittests/Adapters/stagestreamtest.cpp
@@ -1,4 +1,4 @@
-//===- stagestreamtest.cpp - Tests of reading streams ---------------------===//
+//===- stagestreamtest.cpp - Tests of streamed answers --------------------===//
 
 #include "harelink/Adapters/eventstream.h"
 #include "harelink/Adapters/stageprotocol.h"
@@ -12,14 +12,14 @@
 
 TEST_GROUP(EventReader){};
 
-TEST(EventReader, EventsAreReadHoweverTheirBytesCome)
+TEST(EventReader, ParsesEventsSplitAtAnyByte)
 {
     const std::string body = ": a comment\r\ndata: one\r\n\r\nevent: x\ndata:two\ndata: lines\n\n";
     for (std::size_t step = 1; step <= body.size(); ++step) {
         EventReader reader;
         std::string all;
-        for (std::size_t at = 0; at < body.size(); at += step) {
-            reader.feed(body.substr(at, step));
+        for (std::size_t offset = 0; offset < body.size(); offset += step) {
+            reader.feed(body.substr(offset, step));
             while (const std::optional<std::string> data = reader.next()) {
                 all += "[" + *data + "]";
             }
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(EventReader, WhatIsWrittenIsReadBack)
+TEST(EventReader, ParsesFormattedEvents)
 {
     EventReader reader;
     reader.feed(formatEvent("token", "{\"a\":1}"));
@@ -61,7 +61,7 @@
     }
 };
 
-TEST(StageStream, ACallThatGoesOnAsksForWhatIsLeft)
+TEST(StageStream, ResumedCallRequestsRemainingTokens)
 {
     HttpCall call;
     protocol->encode(stage, call);
@@ -71,7 +71,7 @@
     STRCMP_EQUAL((stage.request + " a b").c_str(), body["prompt"].get<std::string>().c_str());
 }
 
-TEST(StageStream, TokensAreCountedOnFromThoseBefore)
+TEST(StageStream, TokenNumbersContinueAfterDeliveredTokens)
 {
     StageStream stream(*protocol, stage);
     const auto first = stream.handleBody(head, event(" c") + event(" d").substr(0, 5));
@@ -85,7 +85,7 @@
     STRCMP_EQUAL("\" a b c d\"", std::get<StageAnswered>(end).body.c_str());
 }
 
-TEST(StageStream, AStreamWithoutItsLastEventIsNotWhole)
+TEST(StageStream, StreamWithoutLastEventFails)
 {
     StageStream stream(*protocol, stage);
     (void)stream.handleBody(head, event(" c"));
@@ -93,7 +93,7 @@
     CHECK(std::get<StageFailed>(end).evidence == SendEvidence::Sent);
 }
 
-TEST(StageStream, ARefusalIsReadAsOne)
+TEST(StageStream, DecodesARefusal)
 {
     stage.refusesBeforeRunning = true;
     StageStream stream(*protocol, stage);
@@ -104,7 +104,7 @@
     CHECK(std::get<StageFailed>(end).evidence == SendEvidence::RefusedBeforeRun);
 }
 
-TEST(StageStream, AnEventThatCannotBeReadEndsTheStream)
+TEST(StageStream, InvalidEventFailsTheStream)
 {
     StageStream stream(*protocol, stage);
     CHECK_EQUAL(0u, stream.handleBody(head, "data: oops\n\n" + event(" c")).size());
--- a/unittests/Platform/endpointlivestest.cpp
+++ b/unittests/Platform/endpointlivestest.cpp
@@ -1,8 +1,8 @@
-//===- endpointlivestest.cpp - Endpoints that start again -----------------===//
+//===- endpointlivestest.cpp - Tests of endpoint restarts -----------------===//
 ///
 /// \file
-/// An endpoint that starts again under the identity that it had is another endpoint to all
-/// that was kept of it.
+/// An endpoint that restarts under the same identity is a new incarnation: state that was
+/// recorded of the previous one must not apply to it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -28,21 +28,21 @@
                         seq, born)};
 }
 
-/// Lets an older life come back by a write that was done late; what the product must not do.
-struct NoHighWater : AllGuards
+/// Disables the guard, so that a delayed write restores an older incarnation.
+struct AcceptsStaleUpdates : AllGuards
 {
     static constexpr bool dropsStaleUpdates = false;
 };
 
 template <typename Table>
-std::string nameInForce(const Table &table)
+std::string currentName(const Table &table)
 {
     const std::vector<Resource> resources = table.resources();
     return resources.empty() ? std::string() : resources.front().name;
 }
 
-/// The same configuration with \p endpoint under the name of its next life.
-std::vector<Resource> withNextLife(std::vector<Resource> resources, const std::string &endpoint)
+/// Returns the configuration with \p endpoint under the name of its next incarnation.
+std::vector<Resource> withRestarted(std::vector<Resource> resources, const std::string &endpoint)
 {
     for (Resource &resource : resources) {
         auto *spec = std::get_if<EndpointSpec>(&resource.spec);
@@ -56,31 +56,31 @@
 
 } // namespace
 
-TEST_GROUP(EndpointLives)
+TEST_GROUP(EndpointRestarts)
 {
     fleet::ManifestReader reader;
 };
 
-TEST(EndpointLives, EachLifeHasANameAndTheIdentityStays)
+TEST(EndpointRestarts, IncarnationsHaveDifferentNamesAndOneIdentity)
 {
     const auto read = reader.read("servers", "i-1", entry(1, 1000).value);
     const auto &first = std::get<EndpointSpec>(read->front().spec);
-    const auto readAgain = reader.read("servers", "i-1", entry(2, 2000).value);
-    const auto &second = std::get<EndpointSpec>(readAgain->front().spec);
+    const auto readRestarted = reader.read("servers", "i-1", entry(2, 2000).value);
+    const auto &second = std::get<EndpointSpec>(readRestarted->front().spec);
     CHECK(first.name != second.name);
     STRCMP_EQUAL("i-1", first.stableName().c_str());
     STRCMP_EQUAL("i-1", second.stableName().c_str());
     CHECK(first.startedAt < second.startedAt);
 }
 
-TEST(EndpointLives, ANewerLifeReplacesTheOneBeforeAndTellsSo)
+TEST(EndpointRestarts, NewerIncarnationReplacesAndEndsTheOlder)
 {
     ConfigTable table(reader);
     CHECK(table.apply(entry(5, 1000, 9)));
     CHECK(table.drainEndedEndpoints().empty());
-    // Counts start anew, so a lower one is no older news.
+    // Sequence numbers restart, so a lower one does not mean an older update.
     CHECK(table.apply(entry(6, 2000, 1)));
-    STRCMP_EQUAL("i-1@2000", nameInForce(table).c_str());
+    STRCMP_EQUAL("i-1@2000", currentName(table).c_str());
     const std::vector<std::string> ended = table.drainEndedEndpoints();
     LONGS_EQUAL(1, ended.size());
     STRCMP_EQUAL("i-1@1000", ended[0].c_str());
@@ -88,76 +88,76 @@
     CHECK_FALSE(table.hasEnded("i-1@2000"));
 }
 
-TEST(EndpointLives, AWriteOfTheLifeBeforeThatIsDoneLateBringsNothingBack)
+TEST(EndpointRestarts, DelayedWriteOfOlderIncarnationIsIgnored)
 {
     ConfigTable table(reader);
     table.apply(entry(5, 2000));
     CHECK_FALSE(table.apply(entry(6, 1000)));
-    STRCMP_EQUAL("i-1@2000", nameInForce(table).c_str());
+    STRCMP_EQUAL("i-1@2000", currentName(table).c_str());
     PlatformObject deletion = entry(7, 0);
     deletion.deleted = true;
     CHECK(table.apply(deletion));
     CHECK_FALSE(table.apply(entry(8, 1000)));
-    STRCMP_EQUAL("", nameInForce(table).c_str());
+    STRCMP_EQUAL("", currentName(table).c_str());
     CHECK(table.apply(entry(9, 3000)));
-    STRCMP_EQUAL("i-1@3000", nameInForce(table).c_str());
+    STRCMP_EQUAL("i-1@3000", currentName(table).c_str());
 }
 
-TEST(EndpointLives, ControlWithoutTheGuardBringsTheLifeBeforeBack)
+TEST(EndpointRestarts, ControlWithoutGuardOlderIncarnationReturns)
 {
-    BasicConfigTable<NoHighWater> table(reader);
+    BasicConfigTable<AcceptsStaleUpdates> table(reader);
     table.apply(entry(5, 2000));
     table.apply(entry(6, 1000));
-    STRCMP_EQUAL("i-1@1000", nameInForce(table).c_str());
+    STRCMP_EQUAL("i-1@1000", currentName(table).c_str());
 }
 
-TEST(EndpointLives, WhatWasLearntOfALifeIsNotKeptForTheNext)
+TEST(EndpointRestarts, EndpointStateIsResetOnRestart)
 {
-    const std::vector<Resource> before = proxiedConfiguration();
-    const auto first = buildSnapshot(before, 1, "dc1", nullptr);
+    const std::vector<Resource> initial = proxiedConfiguration();
+    const auto first = buildSnapshot(initial, 1, "dc1", nullptr);
     first->endpoint("engine-0")->load->failures = 7;
     first->endpoint("engine-0")->load->leaving = true;
-    const auto second = buildSnapshot(withNextLife(before, "engine-0"), 2, "dc1", first.get());
+    const auto second = buildSnapshot(withRestarted(initial, "engine-0"), 2, "dc1", first.get());
     CHECK(second->endpoint("engine-0") == nullptr);
     LONGS_EQUAL(0, second->endpoint("engine-0@2")->load->failures.load());
     CHECK_FALSE(second->endpoint("engine-0@2")->load->leaving.load());
-    // Prompts that have their home there keep it, and no other prompt moves.
-    const PoolEntry &poolBefore = *first->pool("engines");
-    const PoolEntry &poolAfter = *second->pool("engines");
+    // The preferred endpoint of no prompt changes.
+    const PoolEntry &oldPool = *first->pool("engines");
+    const PoolEntry &newPool = *second->pool("engines");
     for (std::uint64_t prompt = 0; prompt < 1000; ++prompt) {
         const std::uint64_t hash = hash64("prompt", prompt);
-        STRCMP_EQUAL(poolBefore.preferredEndpoint(hash)->spec.stableName().c_str(),
-                     poolAfter.preferredEndpoint(hash)->spec.stableName().c_str());
+        STRCMP_EQUAL(oldPool.preferredEndpoint(hash)->spec.stableName().c_str(),
+                     newPool.preferredEndpoint(hash)->spec.stableName().c_str());
     }
 }
 
-TEST(EndpointLives, CallsToALifeThatIsOverAreSettledAsForACrash)
+TEST(EndpointRestarts, CallsToEndedIncarnationAreHandledAsCrashed)
 {
-    ProxiedFixture bench(1);
-    bench.arrive("/record/1");
-    bench.arrive("/read/1");
-    LONGS_EQUAL(2, bench.sends.size());
-    STRCMP_EQUAL("engine-0", bench.sends[0].endpointIdentity.c_str());
-    bench.snapshot =
-        buildSnapshot(withNextLife(proxiedConfiguration(1), "engine-0"), 2, "dc1", nullptr);
-    bench.machine.handle(EndpointEnded{"engine-0"}, *bench.snapshot);
-    bench.collect();
-    LONGS_EQUAL(2, bench.cancels.size());
-    // What may not be repeated is not sent again: it may have run.
-    LONGS_EQUAL(1, bench.answers.size());
-    CHECK(bench.answers[0].outcome == Outcome::Unknown);
-    LONGS_EQUAL(3, bench.sends.size());
-    STRCMP_EQUAL("engine-0@2", bench.sends[2].endpoint.c_str());
-    STRCMP_EQUAL("engine-0", bench.sends[2].endpointIdentity.c_str());
-    // An answer of the life before is nobody's.
-    bench.answer(bench.sends[1]);
-    LONGS_EQUAL(1, bench.answers.size());
-    bench.answer(bench.sends[2]);
-    LONGS_EQUAL(2, bench.answers.size());
-    CHECK(bench.answers[1].outcome == Outcome::Completed);
+    ProxiedFixture fixture(1);
+    fixture.arrive("/record/1");
+    fixture.arrive("/read/1");
+    LONGS_EQUAL(2, fixture.sends.size());
+    STRCMP_EQUAL("engine-0", fixture.sends[0].endpointIdentity.c_str());
+    fixture.snapshot =
+        buildSnapshot(withRestarted(proxiedConfiguration(1), "engine-0"), 2, "dc1", nullptr);
+    fixture.machine.handle(EndpointEnded{"engine-0"}, *fixture.snapshot);
+    fixture.collect();
+    LONGS_EQUAL(2, fixture.cancels.size());
+    // The request that is not repeatable is not resent: it may have run.
+    LONGS_EQUAL(1, fixture.answers.size());
+    CHECK(fixture.answers[0].outcome == Outcome::Unknown);
+    LONGS_EQUAL(3, fixture.sends.size());
+    STRCMP_EQUAL("engine-0@2", fixture.sends[2].endpoint.c_str());
+    STRCMP_EQUAL("engine-0", fixture.sends[2].endpointIdentity.c_str());
+    // An answer of the previous incarnation is ignored.
+    fixture.answer(fixture.sends[1]);
+    LONGS_EQUAL(1, fixture.answers.size());
+    fixture.answer(fixture.sends[2]);
+    LONGS_EQUAL(2, fixture.answers.size());
+    CHECK(fixture.answers[1].outcome == Outcome::Completed);
 }
 
-TEST(EndpointLives, CallsOfPiecesFailAndTheRoomOfTheirResultsIsFree)
+TEST(EndpointRestarts, PieceCallsFailAndFreeTheirResultBuffer)
 {
     const ManualClock clock;
     PieceBatcher batcher(clock);
--- a/unittests/Platform/manifesttest.cpp
+++ b/unittests/Platform/manifesttest.cpp
@@ -43,7 +43,7 @@
     return std::get<Spec>(resources.front().spec);
 }
 
-std::string with(const std::string &from, const std::string &to)
+std::string replaced(const std::string &from, const std::string &to)
 {
     std::string text = manifest;
     text.replace(text.find(from), from.size(), to);
@@ -57,7 +57,7 @@
     fleet::ManifestReader reader;
 };
 
-TEST(Manifest, RoutesBecomePipelines)
+TEST(Manifest, ConvertsRoutesToPipelines)
 {
     const auto resources = reader.read("config", "main", manifest);
     CHECK(resources.ok());
@@ -79,7 +79,7 @@
     STRCMP_EQUAL("m2", record.route->split[0].pool.c_str());
 }
 
-TEST(Manifest, ServicesBecomePoolsAndTenantsAccounts)
+TEST(Manifest, ConvertsServicesAndTenants)
 {
     const auto resources = reader.read("config", "main", manifest);
     CHECK(specOf<PoolSpec>(*resources, "m1").hasPromptCache);
@@ -97,7 +97,7 @@
     LONGS_EQUAL(1, account.priority.value());
 }
 
-TEST(Manifest, AnEndpointThatDrainsIsLeaving)
+TEST(Manifest, DrainingEndpointIsLeaving)
 {
     const char *server = R"({"service": "m1", "addr": "10.0.0.1:80", "zone": "z", "slots": 64,
                              "state": "draining", "seq": 4})";
@@ -109,9 +109,9 @@
     STRCMP_EQUAL("z", endpoint.dataCentre.c_str());
 }
 
-TEST(Manifest, AnEndpointSaysForHowLongItStaysCold)
+TEST(Manifest, EndpointReportsRemainingColdTime)
 {
-    const auto coldOf = [this](const std::string &field) {
+    const auto coldTimeOf = [this](const std::string &field) {
         const std::string entry = R"({"service": "m1", "addr": "10.0.0.1:80", "zone": "z",
                                       "slots": 64, "state": "ready", "seq": 4)"
                                   + field + "}";
@@ -119,17 +119,17 @@
         return resources.ok() ? std::get<EndpointSpec>(resources->front().spec).coldFor
                               : std::optional<milliseconds>(milliseconds(-1));
     };
-    CHECK(coldOf(R"(, "cold-left-ms": 2500)") == milliseconds(2500));
-    CHECK(coldOf(R"(, "cold-left-ms": 2500.7)") == milliseconds(2500));
-    CHECK(coldOf(R"(, "cold-left-ms": 0)") == milliseconds(0));
-    CHECK(!coldOf(""));
-    // Another writer's: it names no endpoint.
-    for (const char *strange : {"-1", "1e300", "\"x\"", "null", "[]"}) {
-        CHECK(coldOf(std::string(R"(, "cold-left-ms": )") + strange) == milliseconds(-1));
+    CHECK(coldTimeOf(R"(, "cold-left-ms": 2500)") == milliseconds(2500));
+    CHECK(coldTimeOf(R"(, "cold-left-ms": 2500.7)") == milliseconds(2500));
+    CHECK(coldTimeOf(R"(, "cold-left-ms": 0)") == milliseconds(0));
+    CHECK(!coldTimeOf(""));
+    // Entries of other writers with invalid values are rejected.
+    for (const char *invalid : {"-1", "1e300", "\"x\"", "null", "[]"}) {
+        CHECK(coldTimeOf(std::string(R"(, "cold-left-ms": )") + invalid) == milliseconds(-1));
     }
 }
 
-TEST(Manifest, AnEvacuationDrainsTheDataCentreOfItsName)
+TEST(Manifest, EvacuationDrainsTheNamedDataCentre)
 {
     for (const char *body : {"{}", "null", "[]", "17", "\"x\"", R"({"until": {}})"}) {
         const auto resources = reader.read("evacuations", "dc-of-nobody", body);
@@ -139,7 +139,7 @@
     }
 }
 
-TEST(Manifest, FiguresThatNobodyCouldWorkWithAreRefused)
+TEST(Manifest, RejectsNumbersOutOfRange)
 {
     const std::vector<std::pair<std::string, std::string>> faults = {
         {"\"batch\": 8", "\"batch\": 0"},
@@ -153,32 +153,35 @@
         {"\"headroom-mb\": 39.0", "\"headroom-mb\": 1e300"},
         {"\"handle-s\": 4.0", "\"handle-s\": -4"}};
     for (const auto &[from, to] : faults) {
-        const auto resources = reader.read("config", "main", with(from, to));
+        const auto resources = reader.read("config", "main", replaced(from, to));
         CHECK_FALSE_TEXT(resources.ok(), to.c_str());
         const std::string field = to.substr(1, to.find('"', 1) - 1);
         CHECK_TEXT(errorMessage(resources.status()).find(field) != std::string::npos, to.c_str());
     }
-    // What is missing has a meaning: pieces one by one, in no time, with room without limit.
+    // Missing fields have defaults: batches of one piece, no processing time, unlimited buffer
+    // space.
     const auto missing = reader.read(
         "config", "main",
-        with("\"batch\": 8, \"call-ms\": 150.0,\n     \"item-ms\": 2.1, \"headroom-mb\": 39.0, ",
-             ""));
+        replaced(
+            "\"batch\": 8, \"call-ms\": 150.0,\n     \"item-ms\": 2.1, \"headroom-mb\": 39.0, ",
+            ""));
     CHECK(missing.ok());
     LONGS_EQUAL(1, specOf<PoolSpec>(*missing, "p1").pieces->batch);
 }
 
-TEST(Manifest, WhatDoesNotFitTogetherIsRefusedWhole)
+TEST(Manifest, RejectsInconsistentDeclarations)
 {
     CHECK_FALSE(reader.read("config", "main", "{}").ok());
     CHECK_FALSE(reader.read("config", "main", "no json").ok());
     CHECK_FALSE(
         reader
             .read("config", "main",
-                  with("\"service\": \"m1\", \"weight\"", "\"service\": \"gone\", \"weight\""))
+                  replaced("\"service\": \"m1\", \"weight\"", "\"service\": \"gone\", \"weight\""))
             .ok());
     CHECK_FALSE(
-        reader.read("config", "main", with("\"since-rev\": [0]", "\"since-rev\": [1]")).ok());
+        reader.read("config", "main", replaced("\"since-rev\": [0]", "\"since-rev\": [1]")).ok());
     CHECK_FALSE(
-        reader.read("config", "main", with("\"timeout-ms\": 8000", "\"timeout-ms\": \"x\"")).ok());
+        reader.read("config", "main", replaced("\"timeout-ms\": 8000", "\"timeout-ms\": \"x\""))
+            .ok());
     CHECK_FALSE(reader.read("servers", "i-1", R"({"service": "m1"})").ok());
 }
--- a/unittests/Platform/requeststest.cpp
+++ b/unittests/Platform/requeststest.cpp
@@ -1,4 +1,4 @@
-//===- requeststest.cpp - Tests of the platform's requests ----------------===//
+//===- requeststest.cpp - Tests of proxied requests -----------------------===//
 
 #include "requests.h"
 
@@ -33,10 +33,10 @@
                       {"X-Own", "2"},
                       {"Content-Length", "4"}};
     for (const auto &[name, value] : request.fields) {
-        std::string lower = name;
-        std::transform(lower.begin(), lower.end(), lower.begin(),
+        std::string lowerName = name;
+        std::transform(lowerName.begin(), lowerName.end(), lowerName.begin(),
                        [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-        request.headers[lower] = value;
+        request.headers[lowerName] = value;
     }
     return request;
 }
@@ -55,7 +55,7 @@
     return stage;
 }
 
-bool has(const HttpCall &call, const std::string &line)
+bool hasHeader(const HttpCall &call, const std::string &line)
 {
     return std::find(call.headers.begin(), call.headers.end(), line) != call.headers.end();
 }
@@ -69,10 +69,10 @@
     result.body = "answer";
     result.fields = std::move(fields);
     for (const auto &[name, value] : result.fields) {
-        std::string lower = name;
-        std::transform(lower.begin(), lower.end(), lower.begin(),
+        std::string lowerName = name;
+        std::transform(lowerName.begin(), lowerName.end(), lowerName.begin(),
                        [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-        result.headers[lower] = value;
+        result.headers[lowerName] = value;
     }
     return result;
 }
@@ -84,7 +84,7 @@
     fleet::RequestDialect dialect;
 };
 
-TEST(Requests, HintsAreReadAndTheRestIsKept)
+TEST(Requests, ParsesRequestHeaders)
 {
     const auto arrival = dialect.read(request());
     CHECK(arrival.ok());
@@ -99,7 +99,7 @@
     LONGS_EQUAL(16, proxied.pieceCounts[2]);
 }
 
-TEST(Requests, ABrokenRequestIsAnErrorThatNamesTheFault)
+TEST(Requests, RejectsInvalidRequests)
 {
     HttpRequest broken = request();
     broken.headers["x-deadline-ms"] = "soon";
@@ -111,36 +111,36 @@
     CHECK_FALSE(dialect.read(broken).ok());
 }
 
-TEST(Requests, TheEndpointGetsTheRequestUnchangedAndNoKey)
+TEST(Requests, ForwardsTheRequestWithoutApiKey)
 {
     const HttpCall call = dialect.encode(stage(dialect));
     STRCMP_EQUAL("/x/1?q=a%20b", call.target.c_str());
     STRCMP_EQUAL("body", call.body.c_str());
-    CHECK(has(call, "X-Request-Id: r-1"));
-    CHECK(has(call, "X-Own: 1"));
-    CHECK(has(call, "X-Own: 2"));
-    CHECK(has(call, "X-Tenant: t1"));
-    CHECK(has(call, "X-Expect-Instance: i-7"));
-    CHECK(has(call, "X-Deadline-Ms: 750"));
-    CHECK(has(call, "X-Inputs: 10.0.0.2:80/a,10.0.0.2:80/b"));
-    CHECK_FALSE(has(call, "X-Tenant: forged"));
-    CHECK_FALSE(has(call, "Authorization: Token k1"));
-    CHECK_FALSE(has(call, "X-Hop: 1"));
+    CHECK(hasHeader(call, "X-Request-Id: r-1"));
+    CHECK(hasHeader(call, "X-Own: 1"));
+    CHECK(hasHeader(call, "X-Own: 2"));
+    CHECK(hasHeader(call, "X-Tenant: t1"));
+    CHECK(hasHeader(call, "X-Expect-Instance: i-7"));
+    CHECK(hasHeader(call, "X-Deadline-Ms: 750"));
+    CHECK(hasHeader(call, "X-Inputs: 10.0.0.2:80/a,10.0.0.2:80/b"));
+    CHECK_FALSE(hasHeader(call, "X-Tenant: forged"));
+    CHECK_FALSE(hasHeader(call, "Authorization: Token k1"));
+    CHECK_FALSE(hasHeader(call, "X-Hop: 1"));
     CHECK_FALSE(call.resendable);
 }
 
-TEST(Requests, FieldsOfTheDaemonAreKeptBackWhateverCallersSend)
+TEST(Requests, RemovesForgedDaemonFields)
 {
-    const std::vector<std::string> ofDaemon = {
+    const std::vector<std::string> daemonFields = {
         "X-Deadline-Ms",    "Authorization", "X-Tenant", "X-Expect-Instance",
         "X-Expect-Version", "X-Inputs",      "X-Hold",   "X-Urgency-Class",
         "X-Pin-Ms",         "X-Kv-Backup",   "Kv-Fetch", "Kv-From"};
-    const std::vector<std::string> ofCaller = {"X-Model",       "X-Token-Count", "X-Prompt-Prefix",
-                                               "X-Pieces",      "X-Piece-Key",   "X-Length-Hint",
-                                               "Last-Event-Id", "X-Unknown"};
+    const std::vector<std::string> callerFields = {
+        "X-Model",     "X-Token-Count", "X-Prompt-Prefix", "X-Pieces",
+        "X-Piece-Key", "X-Length-Hint", "Last-Event-Id",   "X-Unknown"};
     HttpRequest forged = request();
     std::erase_if(forged.fields, [](const auto &field) { return field.first.starts_with("X-"); });
-    for (const std::vector<std::string> *names : {&ofDaemon, &ofCaller}) {
+    for (const std::vector<std::string> *names : {&daemonFields, &callerFields}) {
         for (const std::string &name : *names) {
             forged.fields.emplace_back(name, "forged");
         }
@@ -148,24 +148,24 @@
     SendStage sent = stage(dialect);
     sent.proxied = dialect.read(forged)->proxied;
     const HttpCall call = dialect.encode(sent);
-    for (const std::string &name : ofDaemon) {
-        CHECK_FALSE_TEXT(has(call, name + ": forged"), name.c_str());
+    for (const std::string &name : daemonFields) {
+        CHECK_FALSE_TEXT(hasHeader(call, name + ": forged"), name.c_str());
     }
-    for (const std::string &name : ofCaller) {
-        CHECK_TEXT(has(call, name + ": forged"), name.c_str());
+    for (const std::string &name : callerFields) {
+        CHECK_TEXT(hasHeader(call, name + ": forged"), name.c_str());
     }
     sent.resumeAfter = 4;
     const HttpCall resumed = dialect.encode(sent);
-    CHECK_FALSE(has(resumed, "Last-Event-Id: forged"));
-    CHECK(has(resumed, "Last-Event-Id: 4"));
+    CHECK_FALSE(hasHeader(resumed, "Last-Event-Id: forged"));
+    CHECK(hasHeader(resumed, "Last-Event-Id: 4"));
 }
 
-TEST(Requests, AnAnswerCountsOnlySignedAndForItsOwnRequest)
+TEST(Requests, AcceptsOnlySignedAnswersToTheRequest)
 {
     const SendStage sent = stage(dialect);
-    const auto whole =
+    const auto valid =
         dialect.decode(sent, result(200, {{"X-Request-Id", "r-1"}, {"X-Server-Seal", "s"}}));
-    CHECK(std::get<StageAnswered>(whole).echoed == sent.call);
+    CHECK(std::get<StageAnswered>(valid).echoed == sent.call);
     const auto other =
         dialect.decode(sent, result(200, {{"X-Request-Id", "r-2"}, {"X-Server-Seal", "s"}}));
     CHECK(std::get<StageAnswered>(other).echoed != sent.call);
@@ -177,7 +177,7 @@
     CHECK(std::get<StageAnswered>(encoded).echoed != sent.call);
 }
 
-TEST(Requests, OnlyTheEndpointsOwnWordProvesThatNothingRan)
+TEST(Requests, OnlyAnEndpointsRefusalProvesNotRun)
 {
     const SendStage sent = stage(dialect);
     const auto refused = dialect.decode(sent, result(503, {{"X-Not-Run", "1"}}));
@@ -186,15 +186,15 @@
     CHECK(std::get<StageFailed>(failed).evidence == SendEvidence::Sent);
     const auto other = dialect.decode(sent, result(421, {}));
     CHECK(std::get<StageFailed>(other).isEndpointReplaced);
-    HttpResult silent;
-    silent.sent = true;
-    CHECK(std::get<StageFailed>(dialect.decode(sent, silent)).evidence == SendEvidence::Sent);
-    silent.sent = false;
-    CHECK(std::get<StageFailed>(dialect.decode(sent, silent)).evidence
+    HttpResult unanswered;
+    unanswered.sent = true;
+    CHECK(std::get<StageFailed>(dialect.decode(sent, unanswered)).evidence == SendEvidence::Sent);
+    unanswered.sent = false;
+    CHECK(std::get<StageFailed>(dialect.decode(sent, unanswered)).evidence
           == SendEvidence::NothingSent);
 }
 
-TEST(Requests, ARefusalPromisesOnlyWhatIsTrue)
+TEST(Requests, RefusalStatusMatchesOutcome)
 {
     AnswerCaller answer;
     answer.callerId = "r-1";
@@ -219,7 +219,7 @@
     LONGS_EQUAL(502, dialect.makeReply(answer).status);
 }
 
-TEST(Requests, AStreamIsPassedOnInWholeEventsOnly)
+TEST(Requests, ForwardsOnlyCompleteEvents)
 {
     const SendStage sent = stage(dialect);
     ProxiedStream stream(dialect, sent);
@@ -232,11 +232,11 @@
     LONGS_EQUAL(2, events.size());
     STRCMP_EQUAL("id: 1\ndata: a\n\n", events[0].bytes.c_str());
     LONGS_EQUAL(2, events[1].eventId.value());
-    // It ended within an event: that is no whole answer.
+    // The stream ended within an event, so the answer is incomplete.
     CHECK(std::holds_alternative<StageFailed>(stream.finish(head)));
 }
 
-TEST(Requests, AStreamWithoutFramingNeverLooksWhole)
+TEST(Requests, StreamWithoutFramingIsIncomplete)
 {
     const SendStage sent = stage(dialect);
     ProxiedStream stream(dialect, sent);
@@ -247,7 +247,7 @@
     CHECK(std::holds_alternative<StageFailed>(stream.finish(head)));
 }
 
-TEST(Requests, WhatAnEndpointSaysOfItselfIsReadFromEveryAnswerOfItsOwn)
+TEST(Requests, ReadsNoticesFromAllAnswersOfTheEndpoint)
 {
     const SendStage sent = stage(dialect);
     const std::vector<std::pair<std::string, std::string>> own = {
@@ -266,7 +266,7 @@
     const auto refusal = std::get<StageFailed>(dialect.decode(sent, result(503, refused)));
     check(refusal.notice);
     CHECK(refusal.notice->pause == milliseconds(3000));
-    // Another endpoint answers at the address, or nobody does.
+    // Another endpoint answers at the address, or none.
     CHECK(!std::get<StageFailed>(dialect.decode(sent, result(421, refused))).notice);
     CHECK(!std::get<StageFailed>(dialect.decode(sent, HttpResult{})).notice);
 }
--- a/unittests/Platform/storetest.cpp
+++ b/unittests/Platform/storetest.cpp
@@ -1,4 +1,4 @@
-//===- storetest.cpp - Tests of the platform's store and stages -----------===//
+//===- storetest.cpp - Tests of store calls and piece calls ---------------===//
 
 #include "store.h"
 #include "pieces.h"
@@ -51,7 +51,7 @@
     fleet::StageDialect stages;
 };
 
-TEST(Store, AListingComesInPages)
+TEST(Store, ListsInPages)
 {
     PlatformCall call;
     call.operation = PlatformOperation::List;
@@ -69,7 +69,7 @@
     STRCMP_EQUAL("{\"a\":1}", result.objects[0].value.c_str());
 }
 
-TEST(Store, AWatchTellsOfChangesAndRemovals)
+TEST(Store, WatchReportsChangesAndRemovals)
 {
     PlatformCall call;
     call.operation = PlatformOperation::Watch;
@@ -84,12 +84,12 @@
                   R"({"events": [{"removed": true, "object": {"meta": {"name": "i-2", "rev": 10}}}],
             "store-revision": 10})"));
     CHECK(result.objects[0].deleted);
-    HttpResult forgotten = ok("{}");
-    forgotten.status = 410;
-    CHECK(store.decode(call, forgotten).outcome == PlatformOutcome::Gone);
+    HttpResult expired = ok("{}");
+    expired.status = 410;
+    CHECK(store.decode(call, expired).outcome == PlatformOutcome::Gone);
 }
 
-TEST(Store, AWriteIsConditionalAndAConflictTellsTheVersion)
+TEST(Store, WritesAreConditionalAndConflictsReportTheVersion)
 {
     PlatformCall call;
     call.operation = PlatformOperation::Put;
@@ -110,7 +110,7 @@
     LONGS_EQUAL(6, result.version);
 }
 
-TEST(Store, AnAnswerThatCannotBeReadIsAsGoodAsNone)
+TEST(Store, InvalidAnswerCountsAsUnanswered)
 {
     PlatformCall call;
     call.operation = PlatformOperation::List;
@@ -120,7 +120,7 @@
     CHECK(store.decode(call, refused).outcome == PlatformOutcome::Refused);
 }
 
-TEST(Store, APieceHasAKeyOrInputs)
+TEST(Store, EncodesKeyOrInputsOfPieces)
 {
     const HttpCall http = stages.encode(pieceCall());
     const nlohmann::json items = nlohmann::json::parse(http.body)["items"];
@@ -133,7 +133,7 @@
           != http.headers.end());
 }
 
-TEST(Store, ResultsComeInTheOrderOfTheCall)
+TEST(Store, DecodesResultsInOrder)
 {
     const PieceCallEnded ended = stages.decode(
         pieceCall(), ok(R"({"items": [{"handle": "10.0.0.9:80/x"}, {"reason": "gone"}]})"));
@@ -142,7 +142,7 @@
     CHECK(ended.results[1].fault == PieceFault::InputGone);
 }
 
-TEST(Store, AnAnswerToAnotherCallIsNone)
+TEST(Store, RejectsAnswersToOtherCalls)
 {
     CHECK_FALSE(stages.decode(pieceCall(), ok(R"({"items": [{"handle": "x"}]})")).answered);
     CHECK_FALSE(stages.decode(pieceCall(), ok("no json")).answered);
@@ -151,7 +151,7 @@
     CHECK_FALSE(stages.decode(pieceCall(), other).answered);
 }
 
-TEST(Store, ResultsAreFreedWithOneCallForEachEndpoint)
+TEST(Store, FreesResultsWithOneCallPerEndpoint)
 {
     const std::vector<HttpCall> calls =
         stages.encodeFree({"10.0.0.1:80/a", "10.0.0.2:80/b", "10.0.0.1:80/c"});
