--- a/unittests/Config/resourcestest.cpp
+++ b/unittests/Config/resourcestest.cpp
@@ -1,4 +1,4 @@
-//===- resourcestest.cpp - Tests of resources' validation -----------------===//
+//===- resourcestest.cpp - Resource validation tests ----------------------===//
 
 #include "harelink/Config/resources.h"
 #include "harelink/Support/error.h"
@@ -9,13 +9,14 @@
 
 namespace {
 
-/// The error that \p text gives, or an empty text.
-std::string faultOf(const std::string &text)
+/// Returns the error message for the resource file \p text, or an empty string if it is valid.
+std::string errorOf(const std::string &text)
 {
     const auto resources = readResources(text, "test.jsonc");
     return resources.ok() ? std::string() : errorMessage(resources.status());
 }
 
+/// Returns the declaration of a pipeline with \p spec.
 std::string pipelineWith(const std::string &spec)
 {
     return R"({"kind": "Pipeline", "name": "p", "spec": )" + spec + "}";
@@ -25,10 +26,10 @@
 
 TEST_GROUP(Resources){};
 
-TEST(Resources, ReadsAPipelineWithComments)
+TEST(Resources, ReadsPipelineFromJsonWithComments)
 {
     const auto resources = readResources(
-        R"([ // The only one.
+        R"([ // A comment.
             {"kind": "Pipeline", "name": "gate", "version": 7, "spec": {
                 "stages": [{"name": "encode", "pool": "encoders"}],
                 "repeatable": false, "deadlineMs": 250}}])",
@@ -44,59 +45,59 @@
     CHECK_FALSE(resource.document.contains("version"));
 }
 
-TEST(Resources, NamesTheLineOfBadJson)
+TEST(Resources, ReportsLineOfInvalidJson)
 {
-    STRCMP_CONTAINS("line 3", faultOf("[\n{\"kind\": \"Pool\",\n oops}]").c_str());
+    STRCMP_CONTAINS("line 3", errorOf("[\n{\"kind\": \"Pool\",\n oops}]").c_str());
 }
 
-TEST(Resources, ListsEveryFaultWithItsPath)
+TEST(Resources, ReportsAllErrorsWithTheirPaths)
 {
-    const std::string fault = faultOf(pipelineWith(
+    const std::string error = errorOf(pipelineWith(
         R"({"stages": [{"name": "A B", "pool": "x"}], "deadlineMs": 0, "colour": 1})"));
-    STRCMP_CONTAINS("spec.stages[0].name: must be a name", fault.c_str());
-    STRCMP_CONTAINS("spec.deadlineMs: must be from 1", fault.c_str());
-    STRCMP_CONTAINS("spec.colour: is an unknown field", fault.c_str());
+    STRCMP_CONTAINS("spec.stages[0].name: must be a name", error.c_str());
+    STRCMP_CONTAINS("spec.deadlineMs: must be from 1", error.c_str());
+    STRCMP_CONTAINS("spec.colour: is an unknown field", error.c_str());
 }
 
-TEST(Resources, RefusesTooFewAndTooManyStages)
+TEST(Resources, RejectsTooFewOrTooManyStages)
 {
     STRCMP_CONTAINS("from 1 to 6 members, has 0",
-                    faultOf(pipelineWith(R"({"stages": []})")).c_str());
+                    errorOf(pipelineWith(R"({"stages": []})")).c_str());
     std::string seven;
     for (int i = 0; i < 7; ++i) {
         seven += (i > 0 ? "," : "") + std::string(R"({"name": "s)") + std::to_string(i)
                  + R"(", "pool": "p"})";
     }
     STRCMP_CONTAINS("from 1 to 6 members, has 7",
-                    faultOf(pipelineWith(R"({"stages": [)" + seven + "]}")).c_str());
+                    errorOf(pipelineWith(R"({"stages": [)" + seven + "]}")).c_str());
 }
 
-TEST(Resources, RefusesAStageThatStandsTwice)
+TEST(Resources, RejectsDuplicateStageNames)
 {
-    STRCMP_CONTAINS("stands twice", faultOf(pipelineWith(R"({"stages": [{"name": "a", "pool": "p"},
+    STRCMP_CONTAINS("stands twice", errorOf(pipelineWith(R"({"stages": [{"name": "a", "pool": "p"},
                                                         {"name": "a", "pool": "q"}]})"))
                                         .c_str());
 }
 
-TEST(Resources, RefusesAnUnknownKind)
+TEST(Resources, RejectsUnknownKind)
 {
     STRCMP_CONTAINS("kind: 'Gadget' is unknown; known are: Pool",
-                    faultOf(R"({"kind": "Gadget", "name": "x", "spec": {}})").c_str());
+                    errorOf(R"({"kind": "Gadget", "name": "x", "spec": {}})").c_str());
 }
 
-TEST(Resources, RefusesAnAddressThatIsNoIpNumber)
+TEST(Resources, RejectsHostNameAsAddress)
 {
     STRCMP_CONTAINS("spec.address: must be an ip number and a port",
-                    faultOf(R"({"kind": "Endpoint", "name": "e", "spec": {"pool": "p",
+                    errorOf(R"({"kind": "Endpoint", "name": "e", "spec": {"pool": "p",
                         "address": "localhost:80", "dataCentre": "d"}})")
                         .c_str());
 }
 
-TEST(Resources, RefusesAResourceThatIsTooLarge)
+TEST(Resources, RejectsOversizedResource)
 {
     const std::string large(2'000'000, 'x');
     STRCMP_CONTAINS("is larger than 1000000 bytes",
-                    faultOf(R"({"kind": "ModelVersion", "name": "m", "spec": {"model": "m",
+                    errorOf(R"({"kind": "ModelVersion", "name": "m", "spec": {"model": "m",
                         "pool": "p", "version": ")"
                             + large + "\"}}")
                         .c_str());
--- a/unittests/Config/settingstest.cpp
+++ b/unittests/Config/settingstest.cpp
@@ -1,4 +1,4 @@
-//===- settingstest.cpp - Tests of the daemon's settings ------------------===//
+//===- settingstest.cpp - Daemon settings tests ---------------------------===//
 
 #include "harelink/Config/settings.h"
 #include "harelink/Support/error.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr const char *good = R"({
-    "host": "h1", "dataCentre": "porto", // Where it stands.
+constexpr const char *validSettings = R"({
+    "host": "h1", "dataCentre": "porto", // A comment.
     "listen": {"callers": "127.0.0.1:1", "operators": "127.0.0.1:2", "peers": "127.0.0.1:3"},
     "platform": "127.0.0.1:4", "callerTrust": "balancer", "peerTrust": "network"})";
 
@@ -23,25 +23,25 @@
 
 TEST_GROUP(Settings){};
 
-TEST(Settings, ReadsAGoodFile)
+TEST(Settings, ReadsValidFile)
 {
-    const auto settings = read(good);
+    const auto settings = read(validSettings);
     CHECK(settings.ok());
     STRCMP_EQUAL("porto", settings->dataCentre.c_str());
     STRCMP_EQUAL("power-of-two", settings->routingPolicy.c_str());
     CHECK(settings->callerTrust == CallerTrust::Balancer);
 }
 
-TEST(Settings, HasNoSilentDefaultToOpen)
+TEST(Settings, RequiresCallerTrust)
 {
-    std::string text = good;
+    std::string text = validSettings;
     text.erase(text.find(", \"callerTrust\": \"balancer\""), 27);
     STRCMP_CONTAINS("callerTrust: is missing", errorMessage(read(text).status()).c_str());
 }
 
-TEST(Settings, ListsEveryFault)
+TEST(Settings, ReportsAllErrors)
 {
-    const std::string fault = errorMessage(
+    const std::string error = errorMessage(
         read(R"({"host": "H 1", "listen": {"callers": "here"}, "routing": "best", "colour": 1})")
             .status());
     for (const char *expected :
@@ -49,20 +49,20 @@
           "listen.operators: is missing", "platform: is missing",
           "routing: 'best' is unknown; known are: power-of-two, round-robin",
           "colour: is an unknown field"}) {
-        STRCMP_CONTAINS(expected, fault.c_str());
+        STRCMP_CONTAINS(expected, error.c_str());
     }
 }
 
-TEST(Settings, PeersAreTrustedOnlyInSoManyWords)
+TEST(Settings, RequiresPeerTrust)
 {
-    std::string text = good;
+    std::string text = validSettings;
     text.erase(text.find(", \"peerTrust\": \"network\""), 24);
     STRCMP_CONTAINS("peerTrust: is missing", errorMessage(read(text).status()).c_str());
 }
 
-TEST(Settings, CurveNeedsKeysAndShowsNone)
+TEST(Settings, CurveRequiresKeysAndErrorsContainNone)
 {
-    std::string text = good;
+    std::string text = validSettings;
     const std::string trust = "\"peerTrust\": \"network\"";
     text.replace(text.find(trust), trust.size(),
                  R"("peerTrust": "curve", "peerKeys": {"public": "short", "secret": "hidden"})");
@@ -72,10 +72,10 @@
     CHECK(message.find("hidden") == std::string::npos);
 }
 
-TEST(Settings, WhatAStoppingDaemonTakesInLastHasTimeToEnd)
+TEST(Settings, BalancerGraceIsAtMostHalfOfDrainLimit)
 {
     const auto with = [](const std::string &limits) {
-        std::string text = good;
+        std::string text = validSettings;
         text.insert(text.rfind('}'), ", \"limits\": {" + limits + "}");
         return read(text);
     };
@@ -83,7 +83,7 @@
     CHECK_FALSE(with("\"balancerGraceMs\": 5500, \"drainLimitMs\": 7300").ok());
 }
 
-TEST(Settings, TheCapacityOfAHostIsANumberOfCores)
+TEST(Settings, CapacityIsPositiveNumberOfCores)
 {
     const std::string text = R"({"host": "h1", "dataCentre": "dc1", "capacity": CAPACITY,
         "listen": {"callers": "127.0.0.1:1", "operators": "127.0.0.1:2", "peers": "127.0.0.1:3"},
