--- a/lib/Config/jsonreader.cpp
+++ b/lib/Config/jsonreader.cpp
@@ -57,7 +57,7 @@
             + static_cast<std::ptrdiff_t>(std::min<std::size_t>(error.byte, text.size()));
         const auto line = 1 + std::count(text.begin(), end, '\n');
         return makeError(absl::StatusCode::kInvalidArgument, "parsing", origin,
-                         fmt::format("line {}: not valid json with comments", line));
+                         fmt::format("line {}: invalid JSON (comments are allowed)", line));
     }
 }
 
@@ -107,7 +107,7 @@
         return {};
     }
     if (!value->is_string() || value->get_ref<const std::string &>().empty()) {
-        fault(field, "must be a text that is not empty");
+        fault(field, "must be a non-empty string");
         return {};
     }
     return value->get<std::string>();
@@ -120,7 +120,7 @@
         return fallback;
     }
     if (!value->is_string()) {
-        fault(field, "must be a text");
+        fault(field, "must be a string");
         return fallback;
     }
     return value->get<std::string>();
@@ -136,7 +136,7 @@
                             && std::all_of(value->begin(), value->end(),
                                            [](const auto &item) { return item.is_string(); });
     if (!areStrings) {
-        fault(field, "must be a list of texts");
+        fault(field, "must be an array of strings");
         return {};
     }
     return value->get<std::vector<std::string>>();
@@ -157,7 +157,7 @@
         if (text.is_string() && !text.get_ref<const std::string &>().empty()) {
             texts[name] = text.get<std::string>();
         } else {
-            fault(fmt::format("{}.{}", field, name), "must be a text that is not empty");
+            fault(fmt::format("{}.{}", field, name), "must be a non-empty string");
         }
     }
     return texts;
@@ -175,7 +175,7 @@
                && item.get<std::int64_t>() <= high;
     };
     if (!value->is_array() || !std::all_of(value->begin(), value->end(), isWithin)) {
-        fault(field, fmt::format("must be a list of whole numbers from {} to {}", low, high));
+        fault(field, fmt::format("must be an array of integers from {} to {}", low, high));
         return {};
     }
     return value->get<std::vector<std::int64_t>>();
@@ -205,7 +205,7 @@
         return low;
     }
     if (!value->is_number_integer()) {
-        fault(field, "must be a whole number");
+        fault(field, "must be an integer");
         return low;
     }
     const auto number = value->get<std::int64_t>();
@@ -263,7 +263,7 @@
 {
     std::string value = text(field);
     if (!value.empty() && !isIpAddressAndPort(value)) {
-        fault(field, "must be an ip number and a port, as in 127.0.0.1:8080");
+        fault(field, "must be an IPv4 address and a port, such as 127.0.0.1:8080");
     }
     return value;
 }
@@ -279,8 +279,8 @@
         return value;
     }
     if (std::find(choices.begin(), choices.end(), value) == choices.end()) {
-        fault(field,
-              fmt::format("'{}' is unknown; known are: {}", value, fmt::join(choices, ", ")));
+        fault(field, fmt::format("'{}' is unknown; valid values are: {}", value,
+                                 fmt::join(choices, ", ")));
     }
     return value;
 }
@@ -301,7 +301,7 @@
         return readers;
     }
     if (value->size() < minCount || value->size() > maxCount) {
-        fault(field, fmt::format("must have from {} to {} members, has {}", minCount, maxCount,
+        fault(field, fmt::format("must have from {} to {} elements, has {}", minCount, maxCount,
                                  value->size()));
         return readers;
     }
--- a/lib/Config/objectreader.cpp
+++ b/lib/Config/objectreader.cpp
@@ -48,7 +48,7 @@
         }
         if (resource->kind != kind || resource->name != name) {
             return makeError(absl::StatusCode::kInvalidArgument, "checking", origin,
-                             "the declaration names another object");
+                             "kind and name of the declaration must match those of the object");
         }
         return std::vector<Resource>{*std::move(resource)};
     }
--- a/lib/Config/resources.cpp
+++ b/lib/Config/resources.cpp
@@ -39,7 +39,7 @@
         next.pool = stage.name("pool");
         for (const std::int64_t dependency : stage.integers("after", 0, std::int64_t(maxStages))) {
             if (static_cast<std::size_t>(dependency) >= stages.size()) {
-                stage.fault("after", "may name earlier stages only");
+                stage.fault("after", "must refer to earlier stages only");
             }
             next.after.push_back(static_cast<std::uint32_t>(dependency));
         }
@@ -57,7 +57,7 @@
     spec.pathPrefix = reader.text("pathPrefix");
     if (spec.pathPrefix.empty() || spec.pathPrefix.front() != '/'
         || spec.pathPrefix.back() != '/') {
-        reader.fault("pathPrefix", "must begin and end with a slash");
+        reader.fault("pathPrefix", "must start and end with a slash");
     }
     for (JsonReader &share : reader.objects("split", 1, maxSplitPools)) {
         spec.split.push_back({share.name("pool"), share.number("weight", 0, maxWeight, 1)});
@@ -92,7 +92,7 @@
     for (JsonReader &stage : reader.objects("stages", minStages, spec.route ? 0 : maxStages)) {
         StageSpec next{stage.name("name"), stage.name("pool")};
         if (!seen.insert(next.name).second) {
-            stage.fault("name", "stands twice in this pipeline");
+            stage.fault("name", "is not unique within the pipeline");
         }
         stage.finish();
         spec.stages.push_back(std::move(next));
@@ -300,7 +300,7 @@
     Faults faults;
     const auto check = [&](const std::string &pipeline, const std::string &pool) {
         if (!pools.contains(pool)) {
-            faults.push_back(fmt::format("pipeline {}: there is no pool {}", pipeline, pool));
+            faults.push_back(fmt::format("pipeline {}: pool {} does not exist", pipeline, pool));
         }
     };
     for (const Resource &resource : resources) {
@@ -322,7 +322,8 @@
             check(pipeline->name, stages[i].pool);
             for (const std::uint32_t dependency : stages[i].after) {
                 if (dependency >= i) {
-                    faults.push_back(fmt::format("pipeline {}: stage {} comes after stage {}",
+                    faults.push_back(fmt::format("pipeline {}: piece stage {} depends on stage {}, "
+                                                 "which is not an earlier one",
                                                  pipeline->name, i, dependency));
                 }
             }
--- a/lib/Config/settings.cpp
+++ b/lib/Config/settings.cpp
@@ -45,7 +45,7 @@
     // Requests admitted at the end of the grace period need time to complete: the drain limit
     // cuts off what is still running (seen with a stream that was admitted 2.1 s before it).
     if (settings.balancerGrace * 2 > settings.drainLimit) {
-        reader.fault("balancerGraceMs", "must leave half of drainLimitMs or more");
+        reader.fault("balancerGraceMs", "must be at most half of drainLimitMs");
     }
     reader.finish();
 }
@@ -75,7 +75,7 @@
 {
     if (key.size() != keyLength) {
         // The message must not contain the key.
-        faults.push_back(path + ": must be a key of 40 characters, as harelink keys prints");
+        faults.push_back(path + ": must be a key of 40 characters, as printed by 'harelink keys'");
     }
 }
 
--- a/unittests/Config/resourcestest.cpp
+++ b/unittests/Config/resourcestest.cpp
@@ -61,33 +61,34 @@
 
 TEST(Resources, RejectsTooFewOrTooManyStages)
 {
-    STRCMP_CONTAINS("from 1 to 6 members, has 0",
+    STRCMP_CONTAINS("from 1 to 6 elements, has 0",
                     errorOf(pipelineWith(R"({"stages": []})")).c_str());
     std::string seven;
     for (int i = 0; i < 7; ++i) {
         seven += (i > 0 ? "," : "") + std::string(R"({"name": "s)") + std::to_string(i)
                  + R"(", "pool": "p"})";
     }
-    STRCMP_CONTAINS("from 1 to 6 members, has 7",
+    STRCMP_CONTAINS("from 1 to 6 elements, has 7",
                     errorOf(pipelineWith(R"({"stages": [)" + seven + "]}")).c_str());
 }
 
 TEST(Resources, RejectsDuplicateStageNames)
 {
-    STRCMP_CONTAINS("stands twice", errorOf(pipelineWith(R"({"stages": [{"name": "a", "pool": "p"},
+    STRCMP_CONTAINS("is not unique within the pipeline",
+                    errorOf(pipelineWith(R"({"stages": [{"name": "a", "pool": "p"},
                                                         {"name": "a", "pool": "q"}]})"))
-                                        .c_str());
+                        .c_str());
 }
 
 TEST(Resources, RejectsUnknownKind)
 {
-    STRCMP_CONTAINS("kind: 'Gadget' is unknown; known are: Pool",
+    STRCMP_CONTAINS("kind: 'Gadget' is unknown; valid values are: Pool",
                     errorOf(R"({"kind": "Gadget", "name": "x", "spec": {}})").c_str());
 }
 
 TEST(Resources, RejectsHostNameAsAddress)
 {
-    STRCMP_CONTAINS("spec.address: must be an ip number and a port",
+    STRCMP_CONTAINS("spec.address: must be an IPv4 address and a port",
                     errorOf(R"({"kind": "Endpoint", "name": "e", "spec": {"pool": "p",
                         "address": "localhost:80", "dataCentre": "d"}})")
                         .c_str());
--- a/unittests/Config/settingstest.cpp
+++ b/unittests/Config/settingstest.cpp
@@ -45,9 +45,10 @@
         read(R"({"host": "H 1", "listen": {"callers": "here"}, "routing": "best", "colour": 1})")
             .status());
     for (const char *expected :
-         {"host: must be a name", "dataCentre: is missing", "listen.callers: must be an ip number",
-          "listen.operators: is missing", "platform: is missing",
-          "routing: 'best' is unknown; known are: power-of-two, round-robin",
+         {"host: must be a name", "dataCentre: is missing",
+          "listen.callers: must be an IPv4 address", "listen.operators: is missing",
+          "platform: is missing",
+          "routing: 'best' is unknown; valid values are: power-of-two, round-robin",
           "colour: is an unknown field"}) {
         STRCMP_CONTAINS(expected, error.c_str());
     }
