--- a/test/randrun/randrun.h
+++ b/test/randrun/randrun.h
@@ -102,9 +102,9 @@
 
     std::string randomEndpoint()
     {
-        auto at = m_world.endpoints().begin();
-        std::advance(at, random().below(m_world.endpoints().size()));
-        return at->first;
+        auto endpoint = m_world.endpoints().begin();
+        std::advance(endpoint, random().below(m_world.endpoints().size()));
+        return endpoint->first;
     }
 
     void submitRandomRequest()
--- a/utils/standin/endpoint.cpp
+++ b/utils/standin/endpoint.cpp
@@ -110,11 +110,11 @@
 /// Returns the text between the last \p mark in \p text and the next quote.
 std::string quotedTextAfter(const std::string &text, std::string_view mark)
 {
-    const std::size_t at = text.rfind(mark);
-    if (at == std::string::npos) {
+    const std::size_t markOffset = text.rfind(mark);
+    if (markOffset == std::string::npos) {
         return {};
     }
-    const std::size_t begin = at + mark.size();
+    const std::size_t begin = markOffset + mark.size();
     return text.substr(begin, text.find('"', begin) - begin);
 }
 
--- a/utils/standin/platformstore.cpp
+++ b/utils/standin/platformstore.cpp
@@ -9,11 +9,11 @@
 std::set<std::string> splitKinds(const std::string &text)
 {
     std::set<std::string> kinds;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        const std::size_t end = std::min(text.find(',', at), text.size());
-        kinds.insert(text.substr(at, end - at));
-        at = end + 1;
+    std::size_t offset = 0;
+    while (offset < text.size()) {
+        const std::size_t end = std::min(text.find(',', offset), text.size());
+        kinds.insert(text.substr(offset, end - offset));
+        offset = end + 1;
     }
     return kinds;
 }
