--- a/utils/bench/cut.cpp
+++ b/utils/bench/cut.cpp
@@ -57,19 +57,19 @@
     for (int i = 0; i < cuts; ++i) {
         arrived = {};
         const HttpCaller caller(server->port());
-        caller.say("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+        caller.write("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
         const Responder respond = arrived.get_future().get();
         HttpReply part;
         part.body = "first";
         part.more = true;
         respond(part);
-        (void)caller.hearUntil("first");
+        (void)caller.readUntil("first");
         part.more = false;
         part.abort = true;
         const SteadyClock::time_point begin = SteadyClock::now();
         respond(part);
         blocked.push_back(Micros(SteadyClock::now() - begin).count());
-        (void)caller.hearAll();
+        (void)caller.readAll();
         endSeen.push_back(Micros(SteadyClock::now() - begin).count());
     }
     fmt::print("{:5} other connections: the thread is held for {:7.1f} us, "
